--- a/consensus/src/main/java/io/pathdeck/consensus/Campaign.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/CampaignType.java
@@ -1,7 +1,7 @@
 package io.pathdeck.consensus;
 
 /** Why a replica asks for votes. */
-enum Campaign {
+enum CampaignType {
   /** To learn whether it could win, without a new term. */
   PRE_VOTE,
   /** To lead, after no leader was heard. */
--- a/consensus/src/main/java/io/pathdeck/consensus/Delivery.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/CommittedEntries.java
@@ -5,33 +5,33 @@
 import java.util.List;
 
 /** Hands committed entries on to be applied, each once and in order. */
-final class Delivery {
+final class CommittedEntries {
   private final ReplicaState state;
-  private long deliveredIndex;
+  private long lastTakenIndex;
 
   /** Begins after what was committed when the replica was restored. */
-  Delivery(ReplicaState state) {
+  CommittedEntries(ReplicaState state) {
     this.state = state;
-    this.deliveredIndex = state.commitIndex;
+    this.lastTakenIndex = state.commitIndex;
   }
 
   /** The state was replaced by a snapshot that covers entries up to {@code index}. */
   void onSnapshotInstalled(long index) {
-    deliveredIndex = index;
+    lastTakenIndex = index;
   }
 
   /** Forgets the entries that a snapshot covers, as far as they were handed on. */
   void compact(long snapshotIndex) {
-    state.log.compact(Math.min(snapshotIndex, deliveredIndex));
+    state.log.compact(Math.min(snapshotIndex, lastTakenIndex));
   }
 
   /** The entries that were committed since the last call. */
   List<LogEntry> take() {
     List<LogEntry> committed = new ArrayList<>();
     long deliverable = Math.min(state.commitIndex, state.log.lastIndex());
-    while (deliveredIndex < deliverable) {
-      deliveredIndex++;
-      committed.add(state.log.entry(deliveredIndex));
+    while (lastTakenIndex < deliverable) {
+      lastTakenIndex++;
+      committed.add(state.log.entry(lastTakenIndex));
     }
     return committed;
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/SendWindow.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/CongestionWindow.java
@@ -10,47 +10,47 @@
  * leader sends no faster than the link and the member take it. Only what is acknowledged leaves the
  * window: an acknowledgement of earlier entries makes no room for later ones.
  */
-final class SendWindow {
+final class CongestionWindow {
   /**
    * What an acknowledgement adds to a window of one message: it doubles after some 15 of them.
    * Tuned on the links of TestReplicationUnderLoad, not on machines.
    */
-  private static final double GROWTH = 0.1;
+  private static final double INCREASE = 0.1;
 
-  private static final double SMALLEST = 1;
+  private static final double MIN_SIZE = 1;
 
-  private final int largest;
+  private final int maxSize;
 
   /** The last index of each message that is not acknowledged, oldest first. */
-  private final Queue<Long> unacknowledged = new ArrayDeque<>();
+  private final Queue<Long> inFlight = new ArrayDeque<>();
 
-  private double size = SMALLEST;
+  private double size = MIN_SIZE;
 
   /**
    * An empty window.
    *
-   * @param largest the most messages on their way, however well it goes
+   * @param maxSize the most messages on their way, however well it goes
    */
-  SendWindow(int largest) {
-    this.largest = largest;
+  CongestionWindow(int maxSize) {
+    this.maxSize = maxSize;
   }
 
   boolean hasRoom() {
-    return unacknowledged.size() < (int) size;
+    return inFlight.size() < (int) size;
   }
 
   void onSent(long lastIndex) {
-    unacknowledged.add(lastIndex);
+    inFlight.add(lastIndex);
   }
 
   void onAcknowledged(long matchIndex) {
-    unacknowledged.removeIf(last -> last <= matchIndex);
-    size = Math.min(largest, size + GROWTH / size);
+    inFlight.removeIf(last -> last <= matchIndex);
+    size = Math.min(maxSize, size + INCREASE / size);
   }
 
   /** The leader sends again, and nothing sent before counts as on its way. */
-  void onLost() {
-    unacknowledged.clear();
-    size = Math.max(SMALLEST, size / 2);
+  void onLoss() {
+    inFlight.clear();
+    size = Math.max(MIN_SIZE, size / 2);
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
@@ -11,15 +11,15 @@
    * How long a replica leaves the field to another one that asks for votes: an election's two round
    * trips and its sync on a slow machine.
    */
-  private static final long GIVE_WAY_MS = 150;
+  private static final long CAMPAIGN_DEFERRAL_MS = 150;
 
   /** The pause before a replica that starts asks again whether it could win, and its spread. */
-  private static final long STARTING_RETRY_MS = 150;
+  private static final long STARTUP_RETRY_MS = 150;
 
-  private static final long STARTING_RETRY_SPREAD_MS = 300;
+  private static final long STARTUP_RETRY_JITTER_MS = 300;
 
   /** How long after its start a replica asks that often: some longest election timeouts. */
-  private static final long STARTING_MS = 3_600;
+  private static final long STARTUP_PERIOD_MS = 3_600;
 
   private final RaftSettings settings;
   private final SplittableRandom random;
@@ -66,8 +66,8 @@
    */
   void onPreVoteRequested(long nowMs) {
     reset(nowMs);
-    if (!leaderHeard && !leaving && nowMs - startMs < STARTING_MS) {
-      deadlineMs = nowMs + STARTING_RETRY_MS + random.nextLong(STARTING_RETRY_SPREAD_MS);
+    if (!leaderHeard && !leaving && nowMs - startMs < STARTUP_PERIOD_MS) {
+      deadlineMs = nowMs + STARTUP_RETRY_MS + random.nextLong(STARTUP_RETRY_JITTER_MS);
     }
   }
 
@@ -75,8 +75,8 @@
    * Another replica that could win asks for votes. The delay is far shorter than the time between
    * two campaigns, so a candidate that never wins cannot keep others from campaigning.
    */
-  void giveWay(long nowMs) {
-    deadlineMs = Math.max(deadlineMs, nowMs + GIVE_WAY_MS);
+  void deferCampaign(long nowMs) {
+    deadlineMs = Math.max(deadlineMs, nowMs + CAMPAIGN_DEFERRAL_MS);
   }
 
   /** A leader was heard: no vote is given for the shortest election timeout. */
--- a/consensus/src/main/java/io/pathdeck/consensus/Elections.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Elections.java
@@ -8,19 +8,19 @@
   private final ReplicaState state;
   private final ElectionTimer timer;
   private final VoteMessages messages;
-  private final Ballot ballot;
+  private final HardState ballot;
   private VoteTally votes;
 
   Elections(ReplicaState state, ElectionTimer timer, int votedFor) {
     this.state = state;
     this.timer = timer;
     this.messages = new VoteMessages(state);
-    this.ballot = new Ballot(state, votedFor);
+    this.ballot = new HardState(state, votedFor);
   }
 
   /** Begins a newer term, in which this replica has not voted. */
   void beginTerm(long term) {
-    ballot.beginTerm(term, RecoveredState.NO_VOTE);
+    ballot.beginTerm(term, RecoveredState.NO_REPLICA);
   }
 
   /** Forgets the votes of a campaign that is over. */
@@ -33,8 +33,8 @@
    *
    * @return whether its own vote is enough
    */
-  boolean campaign(Campaign campaign, long nowMs) {
-    if (campaign == Campaign.PRE_VOTE) {
+  boolean startCampaign(CampaignType campaign, long nowMs) {
+    if (campaign == CampaignType.PRE_VOTE) {
       timer.onPreVoteRequested(nowMs);
     } else {
       ballot.beginTerm(state.term + 1, state.id);
@@ -45,12 +45,12 @@
     if (votes.isWon()) {
       return true;
     }
-    messages.request(campaign);
+    messages.requestVotes(campaign);
     return false;
   }
 
   /** Counts a vote and returns whether the campaign is won. */
-  boolean onGranted(RaftHeader header) {
+  boolean onVoteGranted(RaftHeader header) {
     votes.add(header.from(), header.fromIncarnation());
     return votes.isWon();
   }
@@ -59,7 +59,7 @@
    * Whether a candidate is refused whatever its log holds: its term is over, or a leader may still
    * answer reads under its lease.
    */
-  boolean refuses(VoteRequest request, boolean leads, long nowMs) {
+  boolean mustRefuse(VoteRequest request, boolean leads, long nowMs) {
     boolean leaseStands = timer.refusesVotes(nowMs) && !request.leadershipTransfer();
     return request.header().term() < state.term || leaseStands || leads;
   }
@@ -77,7 +77,7 @@
     boolean newerTerm = request.header().term() > state.term;
     boolean granted = newerTerm && messages.isUpToDate(request);
     if (granted) {
-      timer.giveWay(nowMs);
+      timer.deferCampaign(nowMs);
     }
     messages.respond(request, granted);
     return granted;
@@ -86,7 +86,7 @@
   /** Gives a vote where that is free and the candidate's log is new enough. */
   void answerVote(VoteRequest request, boolean follows, long nowMs) {
     int candidate = request.header().from();
-    boolean granted = follows && ballot.isFreeFor(candidate) && messages.isUpToDate(request);
+    boolean granted = follows && ballot.canVoteFor(candidate) && messages.isUpToDate(request);
     if (granted) {
       ballot.voteFor(candidate);
       timer.reset(nowMs);
--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
@@ -15,7 +15,7 @@
  */
 final class FollowerLog {
   private final ReplicaState state;
-  private int leaderId = RecoveredState.NO_VOTE;
+  private int leaderId = RecoveredState.NO_REPLICA;
   private long leaderIncarnation;
 
   /** The newest send time, on the leader's clock, among the messages of the current leader. */
@@ -85,7 +85,7 @@
   }
 
   /** Acknowledges an installed snapshot. */
-  void acknowledgeInstalled() {
+  void acknowledgeSnapshot() {
     if (leaderId >= 0) {
       acknowledge(lastAppendSentAtMs);
     }
--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerProgress.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerProgress.java
@@ -13,7 +13,7 @@
   long highestSentIndex;
 
   /** What may be on its way to the member. */
-  final SendWindow window;
+  final CongestionWindow window;
 
   /** When entries were sent last, or acknowledged if that is later. */
   long lastAppendProgressMs;
@@ -38,7 +38,7 @@
     this.nextIndex = nextIndex;
     this.resendFrom = nextIndex;
     this.retransmitMs = settings.retransmitMs();
-    this.window = new SendWindow(settings.maxInFlightAppends());
+    this.window = new CongestionWindow(settings.maxInFlightAppends());
     this.lastAcknowledgedSendMs = nowMs;
   }
 
--- a/consensus/src/main/java/io/pathdeck/consensus/Ballot.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/HardState.java
@@ -3,16 +3,16 @@
 import io.pathdeck.protocol.raft.HardStateRecord;
 
 /** The vote of a replica in its present term; each change is recorded before it takes effect. */
-final class Ballot {
+final class HardState {
   private final ReplicaState state;
   private int votedFor;
 
-  Ballot(ReplicaState state, int votedFor) {
+  HardState(ReplicaState state, int votedFor) {
     this.state = state;
     this.votedFor = votedFor;
   }
 
-  /** Begins a term with a vote for {@code candidate}, or with {@link RecoveredState#NO_VOTE}. */
+  /** Begins a term with a vote for {@code candidate}, or with {@link RecoveredState#NO_REPLICA}. */
   void beginTerm(long term, int candidate) {
     state.term = term;
     voteFor(candidate);
@@ -25,7 +25,7 @@
   }
 
   /** Whether a vote for {@code candidate} contradicts none given in this term. */
-  boolean isFreeFor(int candidate) {
-    return votedFor == RecoveredState.NO_VOTE || votedFor == candidate;
+  boolean canVoteFor(int candidate) {
+    return votedFor == RecoveredState.NO_REPLICA || votedFor == candidate;
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
@@ -49,7 +49,7 @@
     if (nowMs < nextJoinMs) {
       return false;
     }
-    joins.heard(state.id, state.incarnation, settings.address());
+    joins.add(state.id, state.incarnation, settings.address());
     sendJoinRequests(false, nowMs);
     return tryBootstrap();
   }
@@ -83,7 +83,7 @@
   /** Handles a peer's request here; returns whether the first configuration is now known. */
   boolean onJoinRequestWhileJoining(JoinRequest join) {
     if (!join.bootstrapped()) {
-      joins.heard(join.header().from(), join.header().fromIncarnation(), join.address());
+      joins.add(join.header().from(), join.header().fromIncarnation(), join.address());
       return tryBootstrap();
     }
     if (join.bootstrapConfiguration() == null) {
@@ -103,7 +103,7 @@
 
   private boolean tryBootstrap() {
     boolean founder = settings.founders().contains(state.id);
-    if (!founder || !joins.hasHeardAll(settings.founders())) {
+    if (!founder || !joins.containsAll(settings.founders())) {
       return false;
     }
     adopt(joins.configuration(settings.founders()));
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinTracker.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinTracker.java
@@ -9,19 +9,19 @@
 
 /** Collects the replicas that reported an empty disk. */
 final class JoinTracker {
-  private final Map<Integer, Member> heard = new HashMap<>();
+  private final Map<Integer, Member> add = new HashMap<>();
 
-  void heard(int id, long incarnation, String address) {
-    heard.put(id, new Member(id, incarnation, true, address));
+  void add(int id, long incarnation, String address) {
+    add.put(id, new Member(id, incarnation, true, address));
   }
 
-  boolean hasHeardAll(Set<Integer> ids) {
-    return heard.keySet().containsAll(ids);
+  boolean containsAll(Set<Integer> ids) {
+    return add.keySet().containsAll(ids);
   }
 
   /** The configuration in which all {@code ids} vote. */
   GroupConfiguration configuration(Set<Integer> ids) {
-    List<Member> members = ids.stream().sorted().map(heard::get).toList();
+    List<Member> members = ids.stream().sorted().map(add::get).toList();
     return new GroupConfiguration(members);
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -83,19 +83,19 @@
    * about a later message that was lost. The wait doubles while there is no progress: a member that
    * is only slow would otherwise be sent the same again and again, and a full link stay full.
    */
-  void expireInFlight(FollowerProgress follower, long nowMs) {
+  void rewindIfStalled(FollowerProgress follower, long nowMs) {
     boolean stalled =
         follower.nextIndex > follower.resendFrom
             && nowMs - follower.lastAppendProgressMs >= follower.retransmitMs;
     if (stalled) {
-      follower.window.onLost();
+      follower.window.onLoss();
       follower.nextIndex = follower.resendFrom;
       follower.rewoundAtMs = nowMs;
       follower.retransmitMs = Math.min(2 * follower.retransmitMs, MAX_RETRANSMIT_MS);
     }
   }
 
-  void onMatched(FollowerProgress follower, long matchIndex, long nowMs) {
+  void onAppendAccepted(FollowerProgress follower, long matchIndex, long nowMs) {
     if (matchIndex > follower.matchIndex) {
       follower.matchIndex = matchIndex;
       follower.retransmitMs = settings.retransmitMs();
@@ -120,7 +120,7 @@
    * @param sentAtMs when the message was sent that is answered
    * @return whether that is news
    */
-  boolean onMismatch(FollowerProgress follower, long hint, long sentAtMs, long nowMs) {
+  boolean onAppendRejected(FollowerProgress follower, long hint, long sentAtMs, long nowMs) {
     if (sentAtMs <= follower.rewoundAtMs) {
       return false;
     }
@@ -131,12 +131,12 @@
     follower.nextIndex = target;
     follower.resendFrom = target;
     follower.rewoundAtMs = nowMs;
-    follower.window.onLost();
+    follower.window.onLoss();
     return true;
   }
 
   /** Records that a snapshot part was sent; a newer snapshot starts again from its beginning. */
-  void onSnapshotPartSent(int memberId, long snapshotIndex, long nowMs) {
+  void onSnapshotChunkSent(int memberId, long snapshotIndex, long nowMs) {
     FollowerProgress follower = progress.get(memberId);
     if (follower == null) {
       return;
@@ -188,7 +188,7 @@
   Optional<GroupConfiguration> nextConfiguration(
       GroupConfiguration current, long commitIndex, long nowMs) {
     for (Member member : current.members()) {
-      Optional<Member> change = changeOf(member, commitIndex, nowMs);
+      Optional<Member> change = changeFor(member, commitIndex, nowMs);
       if (change.isPresent()) {
         return Optional.of(current.with(change.get()));
       }
@@ -196,12 +196,12 @@
     if (!policy.open()) {
       return Optional.empty();
     }
-    return newcomer(current, nowMs)
+    return newLearner(current, nowMs)
         .map(current::with)
-        .or(() -> removable(current, nowMs).map(member -> current.without(member.id())));
+        .or(() -> memberToRemove(current, nowMs).map(member -> current.without(member.id())));
   }
 
-  private Optional<Member> changeOf(Member member, long commitIndex, long nowMs) {
+  private Optional<Member> changeFor(Member member, long commitIndex, long nowMs) {
     if (member.id() == selfId) {
       return Optional.empty();
     }
@@ -226,7 +226,7 @@
     return nowMs - progress.get(member.id()).lastAcknowledgedSendMs;
   }
 
-  private Optional<Member> newcomer(GroupConfiguration current, long nowMs) {
+  private Optional<Member> newLearner(GroupConfiguration current, long nowMs) {
     for (Map.Entry<Integer, JoinAttempt> entry : joinAttempts.entrySet()) {
       int id = entry.getKey();
       JoinAttempt join = entry.getValue();
@@ -239,7 +239,7 @@
   }
 
   /** The voter that answers, was sent the whole log and has acknowledged most of it. */
-  Optional<Member> successor(GroupConfiguration current, long lastIndex, long nowMs) {
+  Optional<Member> transferTarget(GroupConfiguration current, long lastIndex, long nowMs) {
     return current.members().stream()
         .filter(member -> member.voter() && member.id() != selfId)
         .filter(member -> !leaving.contains(member.id()))
@@ -248,14 +248,14 @@
         .max(Comparator.comparingLong(member -> matchIndex(member.id())));
   }
 
-  private Optional<Member> removable(GroupConfiguration current, long nowMs) {
+  private Optional<Member> memberToRemove(GroupConfiguration current, long nowMs) {
     boolean votersToSpare = current.voterCount() > policy.minVoters();
     return current.members().stream()
         .filter(member -> member.id() != selfId)
         .filter(member -> !member.voter() || votersToSpare)
         .filter(
             member ->
-                leaving.contains(member.id()) || silenceMs(member, nowMs) >= policy.silenceMs())
+                leaving.contains(member.id()) || silenceMs(member, nowMs) >= policy.maxSilenceMs())
         .max(Comparator.comparingLong(member -> silenceMs(member, nowMs)));
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
@@ -11,9 +11,9 @@
 /** What a replica does while it leads, and which members it is to remove. */
 final class Leadership {
   /** What a leader has to do when its timers were asked. */
-  enum Course {
-    STAY,
-    HAND_OVER,
+  enum LeaderAction {
+    CONTINUE,
+    TRANSFER_LEADERSHIP,
     STEP_DOWN
   }
 
@@ -22,7 +22,7 @@
   private Set<Integer> leaving = Set.of();
 
   /** What was sent until then does not renew the lease, however late it is acknowledged. */
-  private long leaseDoubtedAtMs = Long.MIN_VALUE;
+  private long leaseInvalidatedAtMs = Long.MIN_VALUE;
 
   /** Not null exactly while the replica leads. */
   private Replicator replicator;
@@ -67,8 +67,8 @@
   }
 
   /** Tells the voter that is closest to the log to campaign; returns whether there is one. */
-  boolean nameSuccessor(long nowMs) {
-    Optional<Member> successor = replicator.successor(nowMs);
+  boolean sendTimeoutNow(long nowMs) {
+    Optional<Member> successor = replicator.transferTarget(nowMs);
     successor.ifPresent(
         member ->
             state.messages.add(new TimeoutNow(state.header(member.id(), member.incarnation()))));
@@ -80,7 +80,7 @@
     boolean ownTermCommitted = state.log.term(state.commitIndex) == state.term;
     long acknowledgedMs = nowMs - replicator.quorumSilenceMs(nowMs);
     boolean recent = nowMs - acknowledgedMs < state.settings.leaseMs();
-    boolean leased = recent && acknowledgedMs > leaseDoubtedAtMs;
+    boolean leased = recent && acknowledgedMs > leaseInvalidatedAtMs;
     return ownTermCommitted && leased ? OptionalLong.of(state.commitIndex) : OptionalLong.empty();
   }
 
@@ -88,18 +88,18 @@
    * More time may have passed than the clock shows. Another member may lead by now, so no read is
    * answered until a quorum acknowledges something that is sent from now on.
    */
-  void doubtLease(long nowMs) {
-    leaseDoubtedAtMs = nowMs;
+  void invalidateLease(long nowMs) {
+    leaseInvalidatedAtMs = nowMs;
   }
 
   /** What to do once a heartbeat is due: a leader that is to leave, or hears no quorum, ends. */
-  Course course(long nowMs) {
+  LeaderAction nextAction(long nowMs) {
     boolean enoughRemain = state.log.configuration().voterCount() > policy.minVoters();
     if (leaving.contains(state.id) && enoughRemain) {
-      return Course.HAND_OVER;
+      return LeaderAction.TRANSFER_LEADERSHIP;
     }
     boolean lost = replicator.quorumSilenceMs(nowMs) > state.settings.electionTimeoutMaxMs();
-    return lost ? Course.STEP_DOWN : Course.STAY;
+    return lost ? LeaderAction.STEP_DOWN : LeaderAction.CONTINUE;
   }
 
   void receive(RaftMessage message, long nowMs) {
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
@@ -39,7 +39,7 @@
   private final ElectionTimer timer;
   private final MembershipPolicy policy;
   private final Elections elections;
-  private final Delivery delivery;
+  private final CommittedEntries committedEntries;
   private final Leadership leadership;
   private ReplicaRole role = ReplicaRole.JOINING;
 
@@ -66,7 +66,7 @@
     state.term = recovered.term();
     this.elections = new Elections(state, timer, recovered.votedFor());
     state.restoreLog(recovered);
-    delivery = new Delivery(state);
+    committedEntries = new CommittedEntries(state);
     leadership = new Leadership(state, policy);
     state.syncedIndex = state.log.lastIndex();
     if (state.log.hasConfiguration()) {
@@ -131,10 +131,10 @@
   }
 
   /** Starts from the first configuration of a group that was founded by others' decision. */
-  public void adoptBootstrap(GroupConfiguration configuration, long nowMs) {
+  public void bootstrap(GroupConfiguration configuration, long nowMs) {
     if (role == ReplicaRole.JOINING) {
       joining.adopt(configuration);
-      onBootstrapAdopted(nowMs);
+      onBootstrapped(nowMs);
     }
   }
 
@@ -156,10 +156,10 @@
    * @return whether a successor was found; nothing changes otherwise
    */
   public boolean transferLeadership(long nowMs) {
-    if (role != ReplicaRole.LEADER || !leadership.nameSuccessor(nowMs)) {
+    if (role != ReplicaRole.LEADER || !leadership.sendTimeoutNow(nowMs)) {
       return false;
     }
-    becomeFollower(state.term, RecoveredState.NO_VOTE, nowMs);
+    becomeFollower(state.term, RecoveredState.NO_REPLICA, nowMs);
     return true;
   }
 
@@ -211,8 +211,8 @@
    * To be called when more time may have passed than the clock shows, as after a suspension of the
    * machine: a lease that is measured by the clock may be over.
    */
-  public void doubtLease(long nowMs) {
-    leadership.doubtLease(nowMs);
+  public void invalidateLease(long nowMs) {
+    leadership.invalidateLease(nowMs);
   }
 
   /** Handles a message of another replica. */
@@ -230,20 +230,20 @@
       return;
     }
     if (header.term() > state.term && !isPreVoteGrant(message)) {
-      becomeFollower(header.term(), RecoveredState.NO_VOTE, nowMs);
+      becomeFollower(header.term(), RecoveredState.NO_REPLICA, nowMs);
     }
     if (message instanceof VoteResponse response) {
       onVoteResponse(response, nowMs);
     } else if (message instanceof TimeoutNow handover) {
       onTimeoutNow(handover, nowMs);
-    } else if (leadsTerm(header)) {
+    } else if (isLeaderInTerm(header)) {
       leadership.receive(message, nowMs);
     } else {
-      receiveOfLeader(message, nowMs);
+      receiveFromLeader(message, nowMs);
     }
   }
 
-  private void receiveOfLeader(RaftMessage message, long nowMs) {
+  private void receiveFromLeader(RaftMessage message, long nowMs) {
     if (message instanceof AppendRequest request) {
       if (acceptLeader(request.header(), nowMs)) {
         follower.onAppendRequest(request);
@@ -255,7 +255,7 @@
     }
   }
 
-  private boolean leadsTerm(RaftHeader header) {
+  private boolean isLeaderInTerm(RaftHeader header) {
     return role == ReplicaRole.LEADER && header.term() == state.term;
   }
 
@@ -281,17 +281,17 @@
     if (!follower.onSnapshotInstalled(metadata)) {
       return;
     }
-    delivery.onSnapshotInstalled(metadata.index());
+    committedEntries.onSnapshotInstalled(metadata.index());
     if (role == ReplicaRole.JOINING) {
       role = ReplicaRole.FOLLOWER;
     }
     timer.reset(nowMs);
-    follower.acknowledgeInstalled();
+    follower.acknowledgeSnapshot();
   }
 
   /** A durable snapshot now covers the state.log up to {@code index}. */
   public void onSnapshotTaken(long index) {
-    delivery.compact(index);
+    committedEntries.compact(index);
   }
 
   /** Sends a part of the newest snapshot that a {@link SnapshotRequest} asked for. */
@@ -305,7 +305,7 @@
 
   /** Returns what has to be done and forgets it. */
   public Ready takeReady() {
-    List<LogEntry> committed = follower.isInstalling() ? List.of() : delivery.take();
+    List<LogEntry> committed = follower.isInstalling() ? List.of() : committedEntries.take();
     Ready ready =
         new Ready(
             state.messages,
@@ -322,7 +322,7 @@
 
   private void pollJoining(long nowMs) {
     if (joining.poll(nowMs)) {
-      onBootstrapAdopted(nowMs);
+      onBootstrapped(nowMs);
     }
   }
 
@@ -333,7 +333,7 @@
     }
     if (role == ReplicaRole.JOINING) {
       if (joining.onJoinRequestWhileJoining(join)) {
-        onBootstrapAdopted(nowMs);
+        onBootstrapped(nowMs);
       }
       return;
     }
@@ -343,30 +343,30 @@
     }
   }
 
-  private void onBootstrapAdopted(long nowMs) {
+  private void onBootstrapped(long nowMs) {
     role = ReplicaRole.FOLLOWER;
     timer.reset(nowMs);
   }
 
   // ---- elections
 
-  private boolean mayCampaign() {
+  private boolean canCampaign() {
     return state.isVoter() && !follower.isInstalling();
   }
 
   private void startPreVote(long nowMs) {
     timer.reset(nowMs);
-    if (mayCampaign()) {
-      follower.setLeader(RecoveredState.NO_VOTE);
-      campaign(Campaign.PRE_VOTE, nowMs);
+    if (canCampaign()) {
+      follower.setLeader(RecoveredState.NO_REPLICA);
+      startCampaign(CampaignType.PRE_VOTE, nowMs);
     }
   }
 
-  private void campaign(Campaign campaign, long nowMs) {
-    boolean preVote = campaign == Campaign.PRE_VOTE;
+  private void startCampaign(CampaignType campaign, long nowMs) {
+    boolean preVote = campaign == CampaignType.PRE_VOTE;
     role = preVote ? ReplicaRole.PRE_CANDIDATE : ReplicaRole.CANDIDATE;
-    if (elections.campaign(campaign, nowMs)) {
-      onVotesWon(preVote, nowMs);
+    if (elections.startCampaign(campaign, nowMs)) {
+      onCampaignWon(preVote, nowMs);
     }
   }
 
@@ -376,8 +376,8 @@
         role == ReplicaRole.FOLLOWER
             && header.term() == state.term
             && header.from() == follower.leaderId();
-    if (fromLeader && mayCampaign()) {
-      campaign(Campaign.LEADERSHIP_TRANSFER, nowMs);
+    if (fromLeader && canCampaign()) {
+      startCampaign(CampaignType.LEADERSHIP_TRANSFER, nowMs);
     }
   }
 
@@ -386,13 +386,13 @@
       return;
     }
     long requestTerm = request.header().term();
-    if (elections.refuses(request, role == ReplicaRole.LEADER, nowMs)) {
+    if (elections.mustRefuse(request, role == ReplicaRole.LEADER, nowMs)) {
       elections.refuse(request);
     } else if (request.preVote()) {
       onPreVoteRequest(request, nowMs);
     } else {
       if (requestTerm > state.term) {
-        becomeFollower(requestTerm, RecoveredState.NO_VOTE, nowMs);
+        becomeFollower(requestTerm, RecoveredState.NO_REPLICA, nowMs);
       }
       elections.answerVote(request, role == ReplicaRole.FOLLOWER, nowMs);
     }
@@ -419,14 +419,14 @@
     if (role != expectedRole || header.term() != expectedTerm || !response.granted()) {
       return;
     }
-    if (elections.onGranted(header)) {
-      onVotesWon(response.preVote(), nowMs);
+    if (elections.onVoteGranted(header)) {
+      onCampaignWon(response.preVote(), nowMs);
     }
   }
 
-  private void onVotesWon(boolean preVote, long nowMs) {
+  private void onCampaignWon(boolean preVote, long nowMs) {
     if (preVote) {
-      campaign(Campaign.ELECTION, nowMs);
+      startCampaign(CampaignType.ELECTION, nowMs);
     } else {
       becomeLeader(nowMs);
     }
@@ -459,13 +459,13 @@
     if (!leadership.replicator().isHeartbeatDue(nowMs)) {
       return;
     }
-    switch (leadership.course(nowMs)) {
-      case HAND_OVER -> {
+    switch (leadership.nextAction(nowMs)) {
+      case TRANSFER_LEADERSHIP -> {
         if (!transferLeadership(nowMs)) {
-          becomeFollower(state.term, RecoveredState.NO_VOTE, nowMs);
+          becomeFollower(state.term, RecoveredState.NO_REPLICA, nowMs);
         }
       }
-      case STEP_DOWN -> becomeFollower(state.term, RecoveredState.NO_VOTE, nowMs);
+      case STEP_DOWN -> becomeFollower(state.term, RecoveredState.NO_REPLICA, nowMs);
       default -> leadership.replicator().heartbeat(nowMs);
     }
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/RecoveredState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RecoveredState.java
@@ -13,10 +13,10 @@
     Optional<SnapshotMetadata> snapshot,
     List<LogEntry> entries) {
   /** No vote was given in the term. */
-  public static final int NO_VOTE = -1;
+  public static final int NO_REPLICA = -1;
 
   /** The state of a replica with an empty disk. */
   public static RecoveredState empty() {
-    return new RecoveredState(0, NO_VOTE, Optional.empty(), Optional.empty(), List.of());
+    return new RecoveredState(0, NO_REPLICA, Optional.empty(), Optional.empty(), List.of());
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -20,39 +20,38 @@
  */
 final class Replicator {
   private final ReplicaState state;
-  private final LeaderState progressTable;
+  private final LeaderState leaderState;
 
   Replicator(ReplicaState state, MembershipPolicy policy, long nowMs) {
     this.state = state;
-    this.progressTable =
-        new LeaderState(state.id, state.incarnation, state.settings, policy, nowMs);
-    progressTable.adopt(state.log.configuration(), state.log.lastIndex(), nowMs);
+    this.leaderState = new LeaderState(state.id, state.incarnation, state.settings, policy, nowMs);
+    leaderState.adopt(state.log.configuration(), state.log.lastIndex(), nowMs);
   }
 
   long matchIndex(int memberId) {
-    return progressTable.matchIndex(memberId);
+    return leaderState.matchIndex(memberId);
   }
 
   /** For how long no quorum has answered. */
   long quorumSilenceMs(long nowMs) {
-    return nowMs - progressTable.quorumAcknowledgedMs(nowMs);
+    return nowMs - leaderState.quorumAcknowledgedMs(nowMs);
   }
 
   void onJoinRequest(JoinRequest join, long nowMs) {
-    progressTable.onJoinRequest(join, nowMs);
+    leaderState.onJoinRequest(join, nowMs);
   }
 
   void setLeaving(Set<Integer> ids) {
-    progressTable.setLeaving(ids);
+    leaderState.setLeaving(ids);
   }
 
   /** The voter that can lead next; empty while none was sent the whole log. */
-  Optional<Member> successor(long nowMs) {
-    return progressTable.successor(state.log.configuration(), state.log.lastIndex(), nowMs);
+  Optional<Member> transferTarget(long nowMs) {
+    return leaderState.transferTarget(state.log.configuration(), state.log.lastIndex(), nowMs);
   }
 
   boolean isHeartbeatDue(long nowMs) {
-    return progressTable.isHeartbeatDue(nowMs);
+    return leaderState.isHeartbeatDue(nowMs);
   }
 
   /** Sends heartbeats, and proposes a change of membership that has become possible. */
@@ -64,7 +63,7 @@
   /** Sends a part of the newest snapshot. */
   void sendSnapshotChunk(
       SnapshotRequest request, SnapshotMetadata metadata, byte[] data, boolean last, long nowMs) {
-    progressTable.onSnapshotPartSent(request.member().id(), metadata.index(), nowMs);
+    leaderState.onSnapshotChunkSent(request.member().id(), metadata.index(), nowMs);
     state.messages.add(
         new SnapshotChunk(
             state.header(request.member().id(), request.member().incarnation()),
@@ -84,13 +83,13 @@
     if (pending) {
       return;
     }
-    progressTable
+    leaderState
         .nextConfiguration(state.log.configuration(), state.commitIndex, nowMs)
         .ifPresent(
             next -> {
               LogEntry entry = new LogEntry(state.log.lastIndex() + 1, state.term, null, next);
               append(entry, nowMs);
-              progressTable.adopt(next, state.log.lastIndex(), nowMs);
+              leaderState.adopt(next, state.log.lastIndex(), nowMs);
             });
   }
 
@@ -109,7 +108,7 @@
   }
 
   private void replicateTo(Member member, long nowMs) {
-    FollowerProgress progress = progressTable.progress(member.id());
+    FollowerProgress progress = leaderState.progress(member.id());
     if (progress == null) {
       return;
     }
@@ -120,14 +119,14 @@
     while (progress.nextIndex <= state.log.lastIndex() && progress.window.hasRoom()) {
       List<LogEntry> entries = state.log.slice(progress.nextIndex, state.settings.maxAppendBytes());
       sendAppend(member, progress.nextIndex - 1, entries, nowMs);
-      count(progress, entries);
+      countSentBytes(progress, entries);
       progress.nextIndex += entries.size();
       progress.window.onSent(progress.nextIndex - 1);
       progress.lastAppendProgressMs = nowMs;
     }
   }
 
-  private void count(FollowerProgress progress, List<LogEntry> entries) {
+  private void countSentBytes(FollowerProgress progress, List<LogEntry> entries) {
     long sent = 0;
     long sentAgain = 0;
     for (LogEntry entry : entries) {
@@ -151,13 +150,13 @@
   }
 
   void broadcastHeartbeat(long nowMs) {
-    progressTable.onHeartbeatSent(nowMs);
+    leaderState.onHeartbeatSent(nowMs);
     for (Member member : state.log.configuration().members()) {
-      FollowerProgress progress = progressTable.progress(member.id());
+      FollowerProgress progress = leaderState.progress(member.id());
       if (member.id() == state.id || progress == null) {
         continue;
       }
-      progressTable.expireInFlight(progress, nowMs);
+      leaderState.rewindIfStalled(progress, nowMs);
       long previous = Math.max(lastCommonIndex(progress), state.log.snapshotIndex());
       sendAppend(member, previous, List.of(), nowMs);
       replicateTo(member, nowMs);
@@ -185,8 +184,8 @@
   }
 
   /** Notes that a member answered; null when the configuration does not name its incarnation. */
-  private FollowerProgress heardFrom(RaftHeader header, long sentAtMs) {
-    FollowerProgress progress = progressTable.progress(header.from());
+  private FollowerProgress onAcknowledged(RaftHeader header, long sentAtMs) {
+    FollowerProgress progress = leaderState.progress(header.from());
     if (progress == null || progress.incarnation != header.fromIncarnation()) {
       return null;
     }
@@ -205,14 +204,14 @@
 
   private void onAppendResponse(AppendResponse response, long nowMs) {
     RaftHeader header = response.header();
-    FollowerProgress progress = heardFrom(header, response.sentAtMs());
+    FollowerProgress progress = onAcknowledged(header, response.sentAtMs());
     if (progress == null) {
       return;
     }
     if (response.success()) {
-      progressTable.onMatched(progress, response.matchIndex(), nowMs);
+      leaderState.onAppendAccepted(progress, response.matchIndex(), nowMs);
       advanceCommit();
-    } else if (!progressTable.onMismatch(
+    } else if (!leaderState.onAppendRejected(
         progress, response.matchIndex(), response.sentAtMs(), nowMs)) {
       return;
     }
@@ -221,7 +220,7 @@
 
   private void onSnapshotChunkResponse(SnapshotChunkResponse response, long nowMs) {
     RaftHeader header = response.header();
-    FollowerProgress progress = heardFrom(header, response.sentAtMs());
+    FollowerProgress progress = onAcknowledged(header, response.sentAtMs());
     if (progress == null) {
       return;
     }
@@ -238,7 +237,7 @@
   }
 
   void advanceCommit() {
-    long candidate = progressTable.quorumMatchIndex(state.log.configuration(), state.syncedIndex);
+    long candidate = leaderState.quorumMatchIndex(state.log.configuration(), state.syncedIndex);
     if (candidate > state.commitIndex && state.log.term(candidate) == state.term) {
       state.commitIndex = candidate;
     }
--- a/consensus/src/main/java/io/pathdeck/consensus/VoteMessages.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/VoteMessages.java
@@ -14,9 +14,9 @@
   }
 
   /** Asks all other voters for a vote, or, before an election, whether they would give it. */
-  void request(Campaign campaign) {
-    boolean preVote = campaign == Campaign.PRE_VOTE;
-    boolean transfer = campaign == Campaign.LEADERSHIP_TRANSFER;
+  void requestVotes(CampaignType campaign) {
+    boolean preVote = campaign == CampaignType.PRE_VOTE;
+    boolean transfer = campaign == CampaignType.LEADERSHIP_TRANSFER;
     long campaignTerm = preVote ? state.term + 1 : state.term;
     for (Member member : state.log.configuration().members()) {
       if (!member.voter() || member.id() == state.id) {
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/DataFolder.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/DataFolder.java
@@ -88,11 +88,11 @@
       }
       channel.force(true);
     }
-    publish(temporary, target);
+    renameDurably(temporary, target);
   }
 
   /** Renames a synced file to its final name and syncs the folder. */
-  static void publish(Path temporary, Path target) throws IOException {
+  static void renameDurably(Path temporary, Path target) throws IOException {
     Files.move(temporary, target, StandardCopyOption.ATOMIC_MOVE);
     syncFolder(target.getParent());
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/RecoveredGroups.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/RecoveredGroups.java
@@ -19,7 +19,7 @@
 public final class RecoveredGroups {
   private static final class Replay {
     long term;
-    int votedFor = RecoveredState.NO_VOTE;
+    int votedFor = RecoveredState.NO_REPLICA;
     GroupConfiguration bootstrap;
     final List<LogEntry> entries = new ArrayList<>();
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SegmentedLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SegmentedLog.java
@@ -174,7 +174,7 @@
   }
 
   /** Deletes the oldest segments whose entries are all covered by {@code snapshotIndexes}. */
-  public void deleteCovered(Map<Integer, Long> snapshotIndexes) throws IOException {
+  public void deleteCoveredSegments(Map<Integer, Long> snapshotIndexes) throws IOException {
     List<Path> oldestFirst = new ArrayList<>(segments.keySet());
     for (Path segment : oldestFirst) {
       boolean covered =
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
@@ -56,7 +56,7 @@
       out.flush();
       channel.force(true);
     }
-    DataFolder.publish(temporary, target);
+    DataFolder.renameDurably(temporary, target);
     deleteOlder(group, metadata.index());
     return target;
   }
@@ -96,7 +96,7 @@
   }
 
   /** Reads up to {@code maxLength} bytes of the newest snapshot's file. */
-  public Result<byte[], StorageError> readPart(int group, long offset, int maxLength) {
+  public Result<byte[], StorageError> readChunk(int group, long offset, int maxLength) {
     try {
       Path file = newestFile(group).orElseThrow(() -> new IOException("no snapshot of " + group));
       try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
--- a/consensus/src/test/java/io/pathdeck/consensus/MemoryGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 
 /** Replicas joined by a network in memory whose disks sync at once, on a clock of their own. */
-final class MemoryGroup {
+final class InMemoryGroup {
   private static final int GROUP = 1;
 
   /** How far each step takes the clock; a message takes one step. */
@@ -24,22 +24,22 @@
   private final MembershipPolicy policy;
   private final Map<Integer, RaftReplica> replicas = new TreeMap<>();
   private final Map<Integer, Long> committed = new HashMap<>();
-  private final Set<Integer> silent = new HashSet<>();
+  private final Set<Integer> isolated = new HashSet<>();
 
   /** How much less the clocks of replicas show that were suspended, and which are so now. */
-  private final Map<Integer, Long> sleptMs = new HashMap<>();
+  private final Map<Integer, Long> suspendedMs = new HashMap<>();
 
   private final Set<Integer> suspended = new HashSet<>();
   private final Queue<RaftMessage> network = new ArrayDeque<>();
   private long nowMs = 1_000;
 
-  MemoryGroup(MembershipPolicy policy) {
+  InMemoryGroup(MembershipPolicy policy) {
     this.policy = policy;
   }
 
   /** A group of three members that has elected a leader; one of them may be lost. */
-  static MemoryGroup founded(Set<Integer> members) {
-    MemoryGroup group = new MemoryGroup(MembershipPolicy.openFor(1));
+  static InMemoryGroup withLeader(Set<Integer> members) {
+    InMemoryGroup group = new InMemoryGroup(MembershipPolicy.openTolerating(1));
     members.forEach(id -> group.start(id, id, members, members));
     group.runFor(3_000);
     return group;
@@ -59,19 +59,19 @@
             nowMs,
             nowMs);
     replicas.put(id, replica);
-    silent.remove(id);
+    isolated.remove(id);
   }
 
   RaftReplica replica(int id) {
     return replicas.get(id);
   }
 
-  void silence(int id) {
-    silent.add(id);
+  void isolate(int id) {
+    isolated.add(id);
   }
 
-  void heal(int id) {
-    silent.remove(id);
+  void reconnect(int id) {
+    isolated.remove(id);
   }
 
   /** Stops a replica and its clock; what is sent to it is lost. */
@@ -79,13 +79,13 @@
     suspended.add(id);
   }
 
-  void wake(int id) {
+  void resume(int id) {
     suspended.remove(id);
   }
 
   /** What the clock of a replica shows. */
   long nowMs(int id) {
-    return nowMs - sleptMs.getOrDefault(id, 0L);
+    return nowMs - suspendedMs.getOrDefault(id, 0L);
   }
 
   void runFor(long durationMs) {
@@ -95,11 +95,11 @@
       replicas.forEach(
           (id, replica) -> {
             if (suspended.contains(id)) {
-              sleptMs.merge(id, STEP_MS, Long::sum);
+              suspendedMs.merge(id, STEP_MS, Long::sum);
               return;
             }
             replica.poll(nowMs(id));
-            carryOut(id, replica);
+            processReady(id, replica);
           });
       deliver();
     }
@@ -111,15 +111,17 @@
       RaftMessage message = network.poll();
       int to = message.header().to();
       boolean lost =
-          silent.contains(to) || suspended.contains(to) || silent.contains(message.header().from());
+          isolated.contains(to)
+              || suspended.contains(to)
+              || isolated.contains(message.header().from());
       if (!lost && replicas.containsKey(to)) {
         replicas.get(to).receive(message, nowMs(to));
-        carryOut(to, replicas.get(to));
+        processReady(to, replicas.get(to));
       }
     }
   }
 
-  private void carryOut(int id, RaftReplica replica) {
+  private void processReady(int id, RaftReplica replica) {
     Ready ready = replica.takeReady();
     network.addAll(ready.messages());
     long lastIndex = 0;
@@ -139,7 +141,7 @@
 
   Optional<RaftReplica> leader() {
     return replicas.entrySet().stream()
-        .filter(entry -> !silent.contains(entry.getKey()) && !suspended.contains(entry.getKey()))
+        .filter(entry -> !isolated.contains(entry.getKey()) && !suspended.contains(entry.getKey()))
         .map(Map.Entry::getValue)
         .filter(replica -> replica.role() == ReplicaRole.LEADER)
         .findFirst();
--- a/consensus/src/test/java/io/pathdeck/consensus/LinkedGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
@@ -16,33 +16,33 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Replicas joined by a {@link MeteredNetwork}, with disks that take a while to sync. */
-final class LinkedGroup {
+/** Replicas joined by a {@link RateLimitedNetwork}, with disks that take a while to sync. */
+final class RateLimitedGroup {
   private static final int GROUP = 1;
   private static final long STEP_MS = 1;
   private static final long SYNC_MS = 5;
 
-  private record Sync(long doneAtMs, LogEntry last, List<RaftMessage> messages) {}
+  private record PendingSync(long doneAtMs, LogEntry last, List<RaftMessage> messages) {}
 
   /** One replica, its syncs under way and what it was last seen to be. */
   private static final class Node {
     final RaftReplica replica;
-    final Queue<Sync> syncs = new ArrayDeque<>();
-    boolean led;
+    final Queue<PendingSync> syncs = new ArrayDeque<>();
+    boolean wasLeader;
 
     Node(RaftReplica replica) {
       this.replica = replica;
     }
   }
 
-  private final MeteredNetwork network;
+  private final RateLimitedNetwork network;
   private final Map<Integer, Node> nodes = new TreeMap<>();
   private long nowMs = 1_000;
   private long proposedBytes;
   private int elections;
 
   /** Starts {@code size} voters, numbered from 1, whose timers differ by {@code seed}. */
-  LinkedGroup(int size, MeteredNetwork network, RaftSettings settings, long seed) {
+  RateLimitedGroup(int size, RateLimitedNetwork network, RaftSettings settings, long seed) {
     this.network = network;
     List<Member> members = new ArrayList<>();
     for (int id = 1; id <= size; id++) {
@@ -51,7 +51,7 @@
     RecoveredState recovered =
         new RecoveredState(
             0,
-            RecoveredState.NO_VOTE,
+            RecoveredState.NO_REPLICA,
             Optional.of(new GroupConfiguration(members)),
             Optional.empty(),
             List.of());
@@ -79,7 +79,7 @@
       for (RaftMessage message : network.takeArrived(nowMs)) {
         Node node = nodes.get(message.header().to());
         node.replica.receive(message, nowMs);
-        carryOut(node);
+        processReady(node);
       }
     }
   }
@@ -95,17 +95,17 @@
 
   private void step(Node node) {
     while (!node.syncs.isEmpty() && node.syncs.peek().doneAtMs() <= nowMs) {
-      Sync sync = node.syncs.poll();
+      PendingSync sync = node.syncs.poll();
       sync.messages().forEach(message -> network.send(message, nowMs));
       if (sync.last() != null) {
         node.replica.onSynced(sync.last().index(), sync.last().term(), nowMs);
       }
     }
     node.replica.poll(nowMs);
-    carryOut(node);
+    processReady(node);
   }
 
-  private void carryOut(Node node) {
+  private void processReady(Node node) {
     Ready ready = node.replica.takeReady();
     ready.messages().forEach(message -> network.send(message, nowMs));
     if (ready.needsSync()) {
@@ -115,13 +115,13 @@
           last = entry.entry();
         }
       }
-      node.syncs.add(new Sync(nowMs + SYNC_MS, last, ready.messagesAfterSync()));
+      node.syncs.add(new PendingSync(nowMs + SYNC_MS, last, ready.messagesAfterSync()));
     }
     boolean leads = node.replica.role() == ReplicaRole.LEADER;
-    if (leads && !node.led) {
+    if (leads && !node.wasLeader) {
       elections++;
     }
-    node.led = leads;
+    node.wasLeader = leads;
   }
 
   /** Proposes to the leader; what is proposed while there is none is lost. */
--- a/consensus/src/test/java/io/pathdeck/consensus/MeteredNetwork.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedNetwork.java
@@ -15,11 +15,11 @@
  * rate. Each link is a queue: a message waits behind all that was handed to the link before it. A
  * message to a process for which too much is under way already is dropped, as the transport does.
  */
-final class MeteredNetwork {
+final class RateLimitedNetwork {
   private static final int MESSAGE_OVERHEAD_BYTES = 200;
   private static final double LATENCY_MS = 1;
 
-  private record Transit(double atMs, long order, RaftMessage message, boolean received) {}
+  private record Transit(double dueAtMs, long order, RaftMessage message, boolean received) {}
 
   private record Route(int from, int to) {}
 
@@ -28,14 +28,15 @@
   private final Map<Integer, Double> incomingBytesPerMs = new HashMap<>();
   private final Map<Integer, Double> outgoingFreeAtMs = new HashMap<>();
   private final Map<Integer, Double> incomingFreeAtMs = new HashMap<>();
-  private final Map<Route, Long> underWayBytes = new HashMap<>();
+  private final Map<Route, Long> inFlightBytes = new HashMap<>();
   private final Map<Route, Long> sentBytes = new HashMap<>();
   private final PriorityQueue<Transit> transits =
-      new PriorityQueue<>(Comparator.comparingDouble(Transit::atMs).thenComparing(Transit::order));
+      new PriorityQueue<>(
+          Comparator.comparingDouble(Transit::dueAtMs).thenComparing(Transit::order));
   private long nextOrder;
 
   /** Joins processes by links of {@code bytesPerMs} each. */
-  MeteredNetwork(double bytesPerMs, long bufferBytes) {
+  RateLimitedNetwork(double bytesPerMs, long bufferBytes) {
     this.bytesPerMs = bytesPerMs;
     this.bufferBytes = bufferBytes;
   }
@@ -48,11 +49,11 @@
   /** Hands a message to its sender's link. */
   void send(RaftMessage message, long nowMs) {
     Route route = routeOf(message);
-    if (underWayBytes.getOrDefault(route, 0L) >= bufferBytes) {
+    if (inFlightBytes.getOrDefault(route, 0L) >= bufferBytes) {
       return;
     }
     long bytes = sizeBytes(message);
-    underWayBytes.merge(route, bytes, Long::sum);
+    inFlightBytes.merge(route, bytes, Long::sum);
     sentBytes.merge(route, bytes, Long::sum);
     double startMs = Math.max((double) nowMs, outgoingFreeAtMs.getOrDefault(route.from(), 0.0));
     double doneMs = startMs + bytes / bytesPerMs;
@@ -63,10 +64,10 @@
   /** Takes the messages that have arrived by now. */
   List<RaftMessage> takeArrived(long nowMs) {
     List<RaftMessage> arrived = new ArrayList<>();
-    while (!transits.isEmpty() && transits.peek().atMs() <= nowMs) {
+    while (!transits.isEmpty() && transits.peek().dueAtMs() <= nowMs) {
       Transit transit = transits.poll();
       if (transit.received()) {
-        underWayBytes.merge(routeOf(transit.message()), -sizeBytes(transit.message()), Long::sum);
+        inFlightBytes.merge(routeOf(transit.message()), -sizeBytes(transit.message()), Long::sum);
         arrived.add(transit.message());
       } else {
         receive(transit);
@@ -78,7 +79,7 @@
   private void receive(Transit transit) {
     RaftMessage message = transit.message();
     int to = message.header().to();
-    double startMs = Math.max(transit.atMs(), incomingFreeAtMs.getOrDefault(to, 0.0));
+    double startMs = Math.max(transit.dueAtMs(), incomingFreeAtMs.getOrDefault(to, 0.0));
     double rate = incomingBytesPerMs.getOrDefault(to, bytesPerMs);
     double doneMs = startMs + sizeBytes(message) / rate;
     incomingFreeAtMs.put(to, doneMs);
--- a/consensus/src/test/java/io/pathdeck/consensus/TestElectionTimer.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestElectionTimer.java
@@ -13,7 +13,7 @@
   private static final long MAX_MS = SETTINGS.electionTimeoutMaxMs();
 
   @Test
-  void processThatHasJustBegunRefusesVotesForTheShortestTimeout() {
+  void newProcessRefusesVotesForMinimumTimeout() {
     ElectionTimer timer = new ElectionTimer(SETTINGS, 1, START_MS, START_MS);
     assertThat(timer.refusesVotes(START_MS + MIN_MS - 1)).isTrue();
     assertThat(timer.isExpired(START_MS + MIN_MS - 1)).isFalse();
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void timeThatTheStartOfTheProcessTookCountsAsWaited() {
+  void startupTimeCountsTowardTimeout() {
     long nowMs = START_MS + 2 * MAX_MS;
     ElectionTimer timer = new ElectionTimer(SETTINGS, 1, START_MS, nowMs);
     assertThat(timer.refusesVotes(nowMs)).isFalse();
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void replicasThatStartTogetherCampaignAtDifferentTimes() {
+  void timeoutsDifferBetweenSeeds() {
     long nowMs = START_MS + 2 * MAX_MS;
     Set<Long> firstCampaigns = new HashSet<>();
     for (int seed = 0; seed < 10; seed++) {
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void leaderHeardBeforeTheEndOfTheWaitIsWaitedFor() {
+  void leaderContactResetsTimeout() {
     ElectionTimer timer = new ElectionTimer(SETTINGS, 1, START_MS, START_MS + MAX_MS);
     timer.onLeaderHeard(START_MS + MAX_MS);
     assertThat(timer.refusesVotes(START_MS + MAX_MS + MIN_MS - 1)).isTrue();
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void replicaThatStartsAsksAgainSoon() {
+  void preVoteIsRetriedSoonDuringStartup() {
     ElectionTimer timer = new ElectionTimer(SETTINGS, 1, START_MS, START_MS + MAX_MS);
     long askedMs = START_MS + 2 * MAX_MS;
     timer.onPreVoteRequested(askedMs);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void replicaThatHeardALeaderOrStartedLongAgoWaitsAWholeTimeout() {
+  void preVoteRetryWaitsFullTimeoutAfterStartup() {
     ElectionTimer heard = new ElectionTimer(SETTINGS, 1, START_MS, START_MS);
     heard.onLeaderHeard(START_MS);
     heard.onPreVoteRequested(START_MS + MAX_MS);
@@ -74,14 +74,14 @@
   }
 
   @Test
-  void wayIsGivenForAMomentOnly() {
+  void deferralDelaysCampaignBriefly() {
     ElectionTimer timer = new ElectionTimer(SETTINGS, 1, START_MS, START_MS);
     long lateMs = START_MS + MAX_MS;
-    timer.giveWay(lateMs);
+    timer.deferCampaign(lateMs);
     assertThat(timer.isExpired(lateMs + 149)).isFalse();
     assertThat(timer.isExpired(lateMs + 150)).isTrue();
     timer.reset(lateMs);
-    timer.giveWay(lateMs);
+    timer.deferCampaign(lateMs);
     assertThat(timer.isExpired(lateMs + MIN_MS - 1)).isFalse();
   }
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/TestLeadershipTransfer.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestLeadershipTransfer.java
@@ -12,43 +12,43 @@
   private static final Set<Integer> MEMBERS = Set.of(1, 2, 3);
 
   /** A few message delays; far below the shortest election timeout of 600 ms. */
-  private static final long HANDOVER_MS = 100;
+  private static final long TRANSFER_MS = 100;
 
-  private static MemoryGroup founded() {
-    return MemoryGroup.founded(MEMBERS);
+  private static InMemoryGroup groupWithLeader() {
+    return InMemoryGroup.withLeader(MEMBERS);
   }
 
   @Test
-  void anotherMemberLeadsAfterAFewMessages() {
-    MemoryGroup group = founded();
+  void successorLeadsWithinFewMessages() {
+    InMemoryGroup group = groupWithLeader();
     RaftReplica before = group.leader().orElseThrow();
     assertThat(before.transferLeadership(group.nowMs())).isTrue();
-    group.runFor(2 * MemoryGroup.STEP_MS);
-    group.silence(idOf(group, before));
-    group.runFor(HANDOVER_MS);
+    group.runFor(2 * InMemoryGroup.STEP_MS);
+    group.isolate(idOf(group, before));
+    group.runFor(TRANSFER_MS);
     assertThat(group.leader()).isPresent().get().isNotSameAs(before);
     assertThat(group.propose(new byte[] {1})).isTrue();
   }
 
-  private static int idOf(MemoryGroup group, RaftReplica replica) {
+  private static int idOf(InMemoryGroup group, RaftReplica replica) {
     return MEMBERS.stream().filter(id -> group.replica(id) == replica).findFirst().orElseThrow();
   }
 
   @Test
-  void whatTheOldLeaderWasGivenLastIsCommittedByTheNewOne() {
-    MemoryGroup group = founded();
+  void newLeaderCommitsPendingEntries() {
+    InMemoryGroup group = groupWithLeader();
     RaftReplica before = group.leader().orElseThrow();
     assertThat(group.propose(new byte[] {7})).isTrue();
     long index = before.lastIndex();
     assertThat(before.transferLeadership(group.nowMs())).isTrue();
-    group.runFor(HANDOVER_MS);
+    group.runFor(TRANSFER_MS);
     assertThat(group.leader().orElseThrow()).isNotSameAs(before);
     assertThat(group.leader().orElseThrow().commitIndex()).isGreaterThanOrEqualTo(index);
   }
 
   @Test
-  void oldLeaderAnswersNoReadOnceItHasHandedOver() {
-    MemoryGroup group = founded();
+  void oldLeaderServesNothingAfterTransfer() {
+    InMemoryGroup group = groupWithLeader();
     RaftReplica before = group.leader().orElseThrow();
     assertThat(before.readIndex(group.nowMs())).isPresent();
     before.transferLeadership(group.nowMs());
@@ -57,38 +57,38 @@
   }
 
   @Test
-  void withoutSuccessorNothingChanges() {
-    MemoryGroup group = founded();
+  void transferFailsWithoutReachableSuccessor() {
+    InMemoryGroup group = groupWithLeader();
     RaftReplica before = group.leader().orElseThrow();
-    MEMBERS.stream().filter(id -> group.replica(id) != before).forEach(group::silence);
+    MEMBERS.stream().filter(id -> group.replica(id) != before).forEach(group::isolate);
     group.runFor(700);
     assertThat(before.transferLeadership(group.nowMs())).isFalse();
     assertThat(before.role()).isEqualTo(ReplicaRole.LEADER);
   }
 
   @Test
-  void onlyTheLeaderOfTheSameTermCanMakeAFollowerCampaign() {
-    MemoryGroup group = founded();
+  void timeoutNowIsIgnoredUnlessFromCurrentLeader() {
+    InMemoryGroup group = groupWithLeader();
     RaftReplica leader = group.leader().orElseThrow();
     int leaderId = idOf(group, leader);
     int follower = MEMBERS.stream().filter(id -> id != leaderId).findFirst().orElseThrow();
     int other = MEMBERS.stream().filter(id -> id != leaderId && id != follower).findFirst().get();
     long term = leader.term();
     RaftReplica target = group.replica(follower);
-    target.receive(handover(other, follower, term), group.nowMs());
-    target.receive(handover(leaderId, follower, term - 1), group.nowMs());
-    group.runFor(HANDOVER_MS);
+    target.receive(timeoutNow(other, follower, term), group.nowMs());
+    target.receive(timeoutNow(leaderId, follower, term - 1), group.nowMs());
+    group.runFor(TRANSFER_MS);
     assertThat(group.leader().orElseThrow()).isSameAs(leader);
     assertThat(leader.term()).isEqualTo(term);
   }
 
-  private static TimeoutNow handover(int from, int to, long term) {
+  private static TimeoutNow timeoutNow(int from, int to, long term) {
     return new TimeoutNow(new RaftHeader(1, from, from, to, to, term));
   }
 
   @Test
-  void leaderThatIsToLeaveHandsOverInsteadOfLettingAnElectionRun() {
-    MemoryGroup group = founded();
+  void leavingLeaderTransfersLeadership() {
+    InMemoryGroup group = groupWithLeader();
     group.start(4, 4, Set.of(), MEMBERS);
     group.runFor(2_000);
     RaftReplica before = group.leader().orElseThrow();
@@ -96,7 +96,7 @@
     for (int id = 1; id <= 4; id++) {
       group.replica(id).setLeaving(Set.of(leaving));
     }
-    group.runFor(2 * HANDOVER_MS);
+    group.runFor(2 * TRANSFER_MS);
     assertThat(group.leader()).isPresent().get().isNotSameAs(before);
   }
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/TestOpenMembership.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestOpenMembership.java
@@ -8,71 +8,71 @@
 /** Groups that form from seeds and whose members come and go. */
 class TestOpenMembership {
   private static final Set<Integer> SEEDS = Set.of(1, 2, 3);
-  private static final Set<Integer> NOBODY = Set.of();
+  private static final Set<Integer> NO_FOUNDERS = Set.of();
 
-  private static MemoryGroup founded() {
-    return MemoryGroup.founded(SEEDS);
+  private static InMemoryGroup groupWithLeader() {
+    return InMemoryGroup.withLeader(SEEDS);
   }
 
   @Test
-  void seedsFoundOneGroup() {
-    assertThat(founded().voters()).isEqualTo(SEEDS);
+  void seedsFormOneGroup() {
+    assertThat(groupWithLeader().voters()).isEqualTo(SEEDS);
   }
 
   @Test
-  void oneSeedAloneFoundsNothing() {
-    MemoryGroup group = new MemoryGroup(MembershipPolicy.openFor(1));
+  void singleSeedDoesNotFormGroup() {
+    InMemoryGroup group = new InMemoryGroup(MembershipPolicy.openTolerating(1));
     group.start(1, 1, SEEDS, SEEDS);
     group.runFor(5_000);
     assertThat(group.leader()).isEmpty();
   }
 
   @Test
-  void newcomerBecomesVoterWithinTwoSeconds() {
-    MemoryGroup group = founded();
-    group.start(4, 4, NOBODY, SEEDS);
+  void newMemberBecomesVoterWithinTwoSeconds() {
+    InMemoryGroup group = groupWithLeader();
+    group.start(4, 4, NO_FOUNDERS, SEEDS);
     group.runFor(2_000);
     assertThat(group.voters()).containsExactlyInAnyOrder(1, 2, 3, 4);
   }
 
   @Test
-  void newcomerReplacesLostMemberWithinTheCatchUpTime() {
-    MemoryGroup group = founded();
-    group.silence(1);
+  void newMemberReplacesLostMember() {
+    InMemoryGroup group = groupWithLeader();
+    group.isolate(1);
     group.runFor(1_000);
-    group.start(4, 4, NOBODY, SEEDS);
+    group.start(4, 4, NO_FOUNDERS, SEEDS);
     group.runFor(4_500);
     assertThat(group.voters()).containsExactlyInAnyOrder(2, 3, 4);
   }
 
   @Test
-  void groupIsNotShrunkBelowItsMinimum() {
-    MemoryGroup group = founded();
-    group.silence(1);
+  void groupKeepsMinimumVoters() {
+    InMemoryGroup group = groupWithLeader();
+    group.isolate(1);
     group.runFor(20_000);
     assertThat(group.voters()).isEqualTo(SEEDS);
   }
 
   @Test
-  void removedMemberIsReadmittedAfterItsCut() {
-    MemoryGroup group = founded();
-    group.start(4, 4, NOBODY, SEEDS);
+  void removedMemberRejoinsAfterReconnecting() {
+    InMemoryGroup group = groupWithLeader();
+    group.start(4, 4, NO_FOUNDERS, SEEDS);
     group.runFor(2_000);
-    group.silence(4);
+    group.isolate(4);
     group.runFor(6_000);
     assertThat(group.voters()).isEqualTo(SEEDS);
-    group.heal(4);
+    group.reconnect(4);
     group.runFor(4_000);
     assertThat(group.voters()).containsExactlyInAnyOrder(1, 2, 3, 4);
   }
 
   @Test
-  void memberWithLostDiskVotesAgainUnderItsNewIncarnation() {
-    MemoryGroup group = founded();
+  void memberWithLostDiskRegainsVote() {
+    InMemoryGroup group = groupWithLeader();
     assertThat(group.propose(new byte[] {1})).isTrue();
     group.runFor(500);
     int lost = group.leader().orElseThrow().leaderId() == 1 ? 2 : 1;
-    group.start(lost, 77, NOBODY, SEEDS);
+    group.start(lost, 77, NO_FOUNDERS, SEEDS);
     group.runFor(4_000);
     assertThat(group.voters()).isEqualTo(SEEDS);
     assertThat(
@@ -81,9 +81,9 @@
   }
 
   @Test
-  void leavingMemberIsRemovedAlsoWhenItLeads() {
-    MemoryGroup group = founded();
-    group.start(4, 4, NOBODY, SEEDS);
+  void leavingLeaderIsRemoved() {
+    InMemoryGroup group = groupWithLeader();
+    group.start(4, 4, NO_FOUNDERS, SEEDS);
     group.runFor(2_000);
     int leaving = group.leader().orElseThrow().leaderId();
     for (int id = 1; id <= 4; id++) {
@@ -94,8 +94,8 @@
   }
 
   @Test
-  void leavingMemberStaysWhileTooFewWouldRemain() {
-    MemoryGroup group = founded();
+  void leavingMemberStaysAtMinimumVoters() {
+    InMemoryGroup group = groupWithLeader();
     SEEDS.forEach(id -> group.replica(id).setLeaving(Set.of(1)));
     group.runFor(6_000);
     assertThat(group.voters()).isEqualTo(SEEDS);
--- a/consensus/src/test/java/io/pathdeck/consensus/TestReplicationUnderLoad.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestReplicationUnderLoad.java
@@ -26,7 +26,7 @@
   /** More than twice what a link without repeated sending needs to work off the burst. */
   private static final long RECOVERY_MS = 8_000;
 
-  private static final long OBSERVED_MS = 10_000;
+  private static final long OBSERVATION_MS = 10_000;
 
   /** How long an entry may take to be committed once the group has recovered. */
   private static final long COMMIT_MS = 200;
@@ -37,26 +37,26 @@
   private static final long UNLIMITED_BUFFER_BYTES = Long.MAX_VALUE;
 
   /** How often each byte may be sent over the whole run, the burst included. */
-  private static final double MAX_SENDINGS = 2;
+  private static final double MAX_SENDS_PER_BYTE = 2;
 
   /** How often each byte may be sent once the group has recovered. */
-  private static final double MAX_STEADY_SENDINGS = 1.2;
+  private static final double MAX_STEADY_SENDS_PER_BYTE = 1.2;
 
   /** The first election and one change of leadership. */
   private static final int MAX_ELECTIONS = 2;
 
   private static final double SLOW_BYTES_PER_MS = LINK_BYTES_PER_MS / 30;
-  private static final long SLOW_CASE_INTERVAL_MS = 80;
-  private static final long SLOW_CASE_LOAD_MS = 10_000;
-  private static final long SLOW_CASE_REST_MS = 20_000;
+  private static final long SLOW_FOLLOWER_INTERVAL_MS = 80;
+  private static final long SLOW_FOLLOWER_LOAD_MS = 10_000;
+  private static final long SLOW_FOLLOWER_DRAIN_MS = 20_000;
 
-  private static LinkedGroup elected(MeteredNetwork network, long seed) {
-    LinkedGroup group = new LinkedGroup(MEMBERS, network, RaftSettings.DEFAULT, seed);
+  private static RateLimitedGroup groupWithLeader(RateLimitedNetwork network, long seed) {
+    RateLimitedGroup group = new RateLimitedGroup(MEMBERS, network, RaftSettings.DEFAULT, seed);
     group.runFor(ELECTION_MS);
     return group;
   }
 
-  private static void burst(LinkedGroup group) {
+  private static void burst(RateLimitedGroup group) {
     group.runUnderLoad(ELECTION_MS, COMMAND_BYTES, STEADY_INTERVAL_MS);
     group.runUnderLoad(BURST_MS, COMMAND_BYTES, BURST_INTERVAL_MS);
     group.runUnderLoad(RECOVERY_MS, COMMAND_BYTES, STEADY_INTERVAL_MS);
@@ -64,23 +64,24 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void linkIsNotFullLongAfterBurst(long seed) {
-    MeteredNetwork network = new MeteredNetwork(LINK_BYTES_PER_MS, BUFFER_BYTES);
-    LinkedGroup group = elected(network, seed);
+  void retransmissionsStopAfterBurst(long seed) {
+    RateLimitedNetwork network = new RateLimitedNetwork(LINK_BYTES_PER_MS, BUFFER_BYTES);
+    RateLimitedGroup group = groupWithLeader(network, seed);
     burst(group);
     long sentBefore = network.sentBytes();
     long proposedBefore = group.proposedBytes();
-    group.runUnderLoad(OBSERVED_MS, COMMAND_BYTES, STEADY_INTERVAL_MS);
+    group.runUnderLoad(OBSERVATION_MS, COMMAND_BYTES, STEADY_INTERVAL_MS);
     double needed = (double) (group.proposedBytes() - proposedBefore) * FOLLOWERS;
     assertThat((network.sentBytes() - sentBefore) / needed)
         .as("bytes sent per byte needed, %d ms and more after the burst", RECOVERY_MS)
-        .isLessThan(MAX_STEADY_SENDINGS);
+        .isLessThan(MAX_STEADY_SENDS_PER_BYTE);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void groupCommitsSoonAgainAfterBurst(long seed) {
-    LinkedGroup group = elected(new MeteredNetwork(LINK_BYTES_PER_MS, BUFFER_BYTES), seed);
+  void commitsPromptlyAfterBurst(long seed) {
+    RateLimitedGroup group =
+        groupWithLeader(new RateLimitedNetwork(LINK_BYTES_PER_MS, BUFFER_BYTES), seed);
     burst(group);
     assertThat(group.leader()).isPresent();
     long lastIndex = group.leader().orElseThrow().lastIndex();
@@ -92,32 +93,32 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void burstCostsAtMostOneChangeOfLeadership(long seed) {
-    MeteredNetwork network = new MeteredNetwork(LINK_BYTES_PER_MS, BUFFER_BYTES);
-    LinkedGroup group = elected(network, seed);
+  void burstCausesAtMostOneLeaderChange(long seed) {
+    RateLimitedNetwork network = new RateLimitedNetwork(LINK_BYTES_PER_MS, BUFFER_BYTES);
+    RateLimitedGroup group = groupWithLeader(network, seed);
     burst(group);
-    group.runUnderLoad(OBSERVED_MS, COMMAND_BYTES, STEADY_INTERVAL_MS);
+    group.runUnderLoad(OBSERVATION_MS, COMMAND_BYTES, STEADY_INTERVAL_MS);
     double needed = (double) group.proposedBytes() * FOLLOWERS;
     assertThat(group.elections()).as("elections").isLessThanOrEqualTo(MAX_ELECTIONS);
     assertThat(network.sentBytes() / needed)
         .as("bytes sent per byte needed over the whole run")
-        .isLessThan(MAX_SENDINGS);
+        .isLessThan(MAX_SENDS_PER_BYTE);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {BUFFER_BYTES, UNLIMITED_BUFFER_BYTES})
-  void slowFollowerIsNotSentTheSameManyTimes(long bufferBytes) {
-    MeteredNetwork network = new MeteredNetwork(LINK_BYTES_PER_MS, bufferBytes);
-    LinkedGroup group = elected(network, 1);
+  void slowFollowerGetsFewRetransmissions(long bufferBytes) {
+    RateLimitedNetwork network = new RateLimitedNetwork(LINK_BYTES_PER_MS, bufferBytes);
+    RateLimitedGroup group = groupWithLeader(network, 1);
     int slow = group.leader().orElseThrow() == group.replica(MEMBERS) ? 1 : MEMBERS;
     network.limitIncoming(slow, SLOW_BYTES_PER_MS);
     long sentBefore = network.sentBytesTo(slow);
-    group.runUnderLoad(SLOW_CASE_LOAD_MS, COMMAND_BYTES, SLOW_CASE_INTERVAL_MS);
-    group.runFor(SLOW_CASE_REST_MS);
+    group.runUnderLoad(SLOW_FOLLOWER_LOAD_MS, COMMAND_BYTES, SLOW_FOLLOWER_INTERVAL_MS);
+    group.runFor(SLOW_FOLLOWER_DRAIN_MS);
     double needed = (double) group.proposedBytes();
     assertThat((network.sentBytesTo(slow) - sentBefore) / needed)
         .as("bytes sent to the slow follower per byte it needs")
-        .isLessThan(MAX_SENDINGS);
+        .isLessThan(MAX_SENDS_PER_BYTE);
     assertThat(group.replica(slow).commitIndex())
         .as("committed at the slow follower")
         .isEqualTo(group.commitIndex());
--- a/consensus/src/test/java/io/pathdeck/consensus/TestSimultaneousCampaigns.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestSimultaneousCampaigns.java
@@ -9,54 +9,54 @@
 /** Replicas that campaign at the same moment agree on one of them, without a second round. */
 class TestSimultaneousCampaigns {
   private static final Set<Integer> MEMBERS = Set.of(1, 2, 3);
-  private static final long LEASE_MS = RaftSettings.DEFAULT.electionTimeoutMinMs();
-  private static final long LONGEST_WAIT_MS = RaftSettings.DEFAULT.electionTimeoutMaxMs();
+  private static final long MIN_ELECTION_TIMEOUT_MS = RaftSettings.DEFAULT.electionTimeoutMinMs();
+  private static final long MAX_ELECTION_TIMEOUT_MS = RaftSettings.DEFAULT.electionTimeoutMaxMs();
 
   /** Two round trips of two steps each, and some steps more; far below an election timeout. */
-  private static final long ELECTION_MS = 10 * MemoryGroup.STEP_MS;
+  private static final long ELECTION_MS = 10 * InMemoryGroup.STEP_MS;
 
-  private final MemoryGroup group = MemoryGroup.founded(MEMBERS);
+  private final InMemoryGroup group = InMemoryGroup.withLeader(MEMBERS);
 
-  private List<Integer> loseLeader() {
+  private List<Integer> isolateLeader() {
     int lost = group.leader().orElseThrow().leaderId();
-    group.silence(lost);
-    group.runFor(LEASE_MS);
+    group.isolate(lost);
+    group.runFor(MIN_ELECTION_TIMEOUT_MS);
     List<Integer> others = MEMBERS.stream().filter(id -> id != lost).sorted().toList();
     assertThat(others).allMatch(id -> group.replica(id).role() == ReplicaRole.FOLLOWER);
     return others;
   }
 
   private void campaign(int id) {
-    group.replica(id).poll(group.nowMs() + LONGEST_WAIT_MS);
+    group.replica(id).poll(group.nowMs() + MAX_ELECTION_TIMEOUT_MS);
     assertThat(group.replica(id).role()).isEqualTo(ReplicaRole.PRE_CANDIDATE);
   }
 
   @Test
-  void ofTwoThatCampaignTogetherOneGivesWay() {
-    List<Integer> others = loseLeader();
+  void lowerIdWinsSimultaneousCampaigns() {
+    List<Integer> others = isolateLeader();
     others.forEach(this::campaign);
     group.runFor(ELECTION_MS);
     assertThat(group.leader()).contains(group.replica(others.get(0)));
   }
 
   @Test
-  void oneThatCampaignsAloneIsElectedWhateverItsId() {
-    List<Integer> others = loseLeader();
+  void loneCandidateWinsRegardlessOfId() {
+    List<Integer> others = isolateLeader();
     campaign(others.get(1));
     group.runFor(ELECTION_MS);
     assertThat(group.leader()).contains(group.replica(others.get(1)));
   }
 
   @Test
-  void memberWhoseCampaignFailedCampaignsAgain() {
-    List<Integer> others = loseLeader();
+  void failedCandidateCampaignsAgain() {
+    List<Integer> others = isolateLeader();
     campaign(others.get(1));
-    group.runFor(MemoryGroup.STEP_MS);
-    group.silence(others.get(0));
-    group.runFor(2 * LONGEST_WAIT_MS);
+    group.runFor(InMemoryGroup.STEP_MS);
+    group.isolate(others.get(0));
+    group.runFor(2 * MAX_ELECTION_TIMEOUT_MS);
     assertThat(group.leader()).isEmpty();
-    group.heal(others.get(0));
-    group.runFor(3 * LONGEST_WAIT_MS);
+    group.reconnect(others.get(0));
+    group.runFor(3 * MAX_ELECTION_TIMEOUT_MS);
     assertThat(group.leader()).isPresent();
   }
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/TestSuspendedLeader.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestSuspendedLeader.java
@@ -18,40 +18,42 @@
   private static final long SUSPENSION_MS = 3_000;
   private static final long LEASE_RENEWAL_MS = 300;
 
-  private final MemoryGroup group = MemoryGroup.founded(MEMBERS);
-  private final RaftReplica before = group.leader().orElseThrow();
-  private final int id = before.leaderId();
+  private final InMemoryGroup group = InMemoryGroup.withLeader(MEMBERS);
+  private final RaftReplica oldLeader = group.leader().orElseThrow();
+  private final int oldLeaderId = oldLeader.leaderId();
 
-  private void suspendWhileAnotherLeads() {
-    group.suspend(id);
+  private void suspendLeaderUntilReplaced() {
+    group.suspend(oldLeaderId);
     group.runFor(SUSPENSION_MS);
-    assertThat(group.leader()).isPresent().get().isNotSameAs(before);
+    assertThat(group.leader()).isPresent().get().isNotSameAs(oldLeader);
     assertThat(group.propose(new byte[] {1})).isTrue();
     group.runFor(LEASE_RENEWAL_MS);
   }
 
   @Test
-  void itsClockAloneDoesNotShowThatItsLeaseIsOver() {
-    suspendWhileAnotherLeads();
-    group.wake(id);
-    assertThat(before.readIndex(group.nowMs(id))).as("why the doubt is needed").isPresent();
+  void leaseLooksValidAfterSuspension() {
+    suspendLeaderUntilReplaced();
+    group.resume(oldLeaderId);
+    assertThat(oldLeader.readIndex(group.nowMs(oldLeaderId)))
+        .as("why the doubt is needed")
+        .isPresent();
   }
 
   @Test
-  void leaderThatDoubtsItsLeaseAnswersNoReadWhenItWakes() {
-    suspendWhileAnotherLeads();
-    group.wake(id);
-    before.doubtLease(group.nowMs(id));
-    assertThat(before.readIndex(group.nowMs(id))).isEmpty();
+  void invalidatedLeaseBlocksReadsAfterSuspension() {
+    suspendLeaderUntilReplaced();
+    group.resume(oldLeaderId);
+    oldLeader.invalidateLease(group.nowMs(oldLeaderId));
+    assertThat(oldLeader.readIndex(group.nowMs(oldLeaderId))).isEmpty();
     group.runFor(LEASE_RENEWAL_MS);
-    assertThat(before.role()).isEqualTo(ReplicaRole.FOLLOWER);
+    assertThat(oldLeader.role()).isEqualTo(ReplicaRole.FOLLOWER);
   }
 
   @Test
-  void leaderThatStillLeadsAnswersReadsAgainAfterAHeartbeat() {
-    before.doubtLease(group.nowMs(id));
-    assertThat(before.readIndex(group.nowMs(id))).isEmpty();
+  void heartbeatRenewsInvalidatedLease() {
+    oldLeader.invalidateLease(group.nowMs(oldLeaderId));
+    assertThat(oldLeader.readIndex(group.nowMs(oldLeaderId))).isEmpty();
     group.runFor(LEASE_RENEWAL_MS);
-    assertThat(before.readIndex(group.nowMs(id))).isPresent();
+    assertThat(oldLeader.readIndex(group.nowMs(oldLeaderId))).isPresent();
   }
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
@@ -55,13 +55,13 @@
   }
 
   @Test
-  void recoversWhatWasAppended() throws IOException {
+  void recoversAppendedRecords() throws IOException {
     writeLog();
     assertThat(recover()).hasSize(2 * BATCHES);
   }
 
   @Test
-  void cutsATornTail() throws IOException {
+  void truncatesTornTail() throws IOException {
     Path segment = writeLog();
     byte[] content = Files.readAllBytes(segment);
     for (int cut = 1; cut < 40; cut += 3) {
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void refusesDamageInTheMiddle() throws IOException {
+  void rejectsDamageBeforeTail() throws IOException {
     Path segment = writeLog();
     byte[] content = Files.readAllBytes(segment);
     content[content.length / 3] ^= 0x40;
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void anyBytesGiveRecordsOrATypedError() throws IOException {
+  void randomBytesOpenOrReportDamage() throws IOException {
     SplittableRandom random = new SplittableRandom(5);
     Path segment = folder.resolve("log-000000000001");
     for (int run = 0; run < 200; run++) {
--- a/control/src/main/java/io/pathdeck/control/ConsensusDuty.java
+++ b/control/src/main/java/io/pathdeck/control/ConsensusDuty.java
@@ -105,7 +105,7 @@
    */
   private void onSuspended(long nowMs) {
     EVENTS.log(EventCode.SUSPENSION_NOTICED);
-    groups.values().forEach(group -> group.replica().doubtLease(nowMs));
+    groups.values().forEach(group -> group.replica().invalidateLease(nowMs));
   }
 
   private void handle(ControllerEvent event) {
--- a/control/src/main/java/io/pathdeck/control/GroupRuntime.java
+++ b/control/src/main/java/io/pathdeck/control/GroupRuntime.java
@@ -144,7 +144,7 @@
     long nowMs = clock.monotonicMs();
     boolean idle = nowMs - lastProposalMs >= IDLE_TIME_STEP_MS;
     boolean leads = replica.role() == ReplicaRole.LEADER && appliedIndex >= firstIndexAsLeader;
-    if (idle && leads && stateMachine.waitsForTime()) {
+    if (idle && leads && stateMachine.needsTimeAdvance()) {
       propose("", 0, new AdvanceTime(), reply -> {}, clock);
     }
   }
@@ -231,7 +231,7 @@
   /** Tells, at most once a second, that entries had to be sent again and how far members lag. */
   void logReplication(long nowMs) {
     ReplicationStatistics now = replica.statistics();
-    long sentAgain = now.entryBytesSentAgain() - lastReplication.entryBytesSentAgain();
+    long sentAgain = now.entryBytesResent() - lastReplication.entryBytesResent();
     if (sentAgain == 0 || nowMs < nextReplicationLineMs) {
       return;
     }
--- a/control/src/main/java/io/pathdeck/control/SnapshotDuty.java
+++ b/control/src/main/java/io/pathdeck/control/SnapshotDuty.java
@@ -79,7 +79,7 @@
   private void readPart(SnapshotTask.ReadPart read) throws IOException {
     Optional<SnapshotMetadata> metadata = files.newest(read.group());
     Result<byte[], StorageError> part =
-        files.readPart(read.group(), read.request().offset(), PART_LENGTH);
+        files.readChunk(read.group(), read.request().offset(), PART_LENGTH);
     if (metadata.isEmpty() || !part.isOk()) {
       return;
     }
--- a/control/src/main/java/io/pathdeck/control/StorageDuty.java
+++ b/control/src/main/java/io/pathdeck/control/StorageDuty.java
@@ -79,7 +79,7 @@
   private void deleteCoveredSegments() throws IOException {
     Map<Integer, Long> covered = coveredIndexes;
     if (!covered.equals(deletedUpTo)) {
-      log.deleteCovered(covered);
+      log.deleteCoveredSegments(covered);
       deletedUpTo = covered;
     }
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerProtocol.java
@@ -9,7 +9,7 @@
 /** Reads callers' requests and writes answers for them. */
 public interface CallerProtocol {
   /** What the exchange asks for. */
-  CallerCall read(HttpExchange exchange);
+  CallerRequest read(HttpExchange exchange);
 
   /** The path of the readiness check. */
   String readinessPath();
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerCall.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What a caller asks a gateway for. */
-public sealed interface CallerCall {
+public sealed interface CallerRequest {
 
   /**
    * A request to be matched against the routes.
@@ -18,7 +18,7 @@
    * @param key what the caller proves its tenant with; empty when it sent none
    * @param headers what is passed on to an engine
    */
-  record Request(
+  record Routed(
       String requestId,
       String host,
       String path,
@@ -29,20 +29,20 @@
       List<PromptPart> promptParts,
       String key,
       HttpHeaders headers)
-      implements CallerCall {}
+      implements CallerRequest {}
 
   /** A part of a prompt that other requests may share. */
   record PromptPart(String id, long tokens) {}
 
   /** Reads results of a batch job. */
-  record ReadResults(String jobId, int from, long waitMs, String key) implements CallerCall {}
+  record ReadResults(String jobId, int from, long waitMs, String key) implements CallerRequest {}
 
   /** Reads the body of an item that waits. */
-  record ReadItem(String jobId, String itemId, String key) implements CallerCall {}
+  record ReadItem(String jobId, String itemId, String key) implements CallerRequest {}
 
   /** Ends a batch job. */
-  record EndJob(String jobId, String key) implements CallerCall {}
+  record EndJob(String jobId, String key) implements CallerRequest {}
 
   /** Not a call of this protocol. */
-  record Malformed(String reason) implements CallerCall {}
+  record Malformed(String reason) implements CallerRequest {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
@@ -8,10 +8,10 @@
 public interface DirectoryProtocol {
 
   /** Where the asker stands; empty when it does not say. */
-  record Question(String zone) {}
+  record Query(String zone) {}
 
   /** What the exchange asks; empty when it is another call. */
-  Optional<Question> read(HttpExchange exchange);
+  Optional<Query> read(HttpExchange exchange);
 
   /** The answer: addresses and how long they may be used. */
   byte[] write(List<String> addresses, long validSeconds);
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
@@ -25,10 +25,10 @@
     long deadlineMs,
     long resumeAfter) {
   /** The id of a call that is no caller's request. */
-  public static final String NO_REQUEST = "";
+  public static final String NO_REQUEST_ID = "";
 
   /** Whether this is a request of a caller or an item of a job. */
-  public boolean isOfRequest() {
-    return !requestId.equals(NO_REQUEST);
+  public boolean hasRequestId() {
+    return !requestId.equals(NO_REQUEST_ID);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
@@ -10,11 +10,10 @@
  * @param slots requests that it can run at once; 0 when it does not say
  * @param bornMs when the life of the engine that reports began; {@link EngineInstance#BORN_UNKNOWN}
  *     when it does not say
- * @param paceInHundredths how long work takes there at this moment, 100 is as usual; {@link
+ * @param pacePercent how long work takes there at this moment, 100 is as usual; {@link
  *     #PACE_UNKNOWN} when it does not say
  */
-public record EngineLoadReport(
-    int running, int waiting, int slots, long bornMs, int paceInHundredths) {
+public record EngineLoadReport(int running, int waiting, int slots, long bornMs, int pacePercent) {
   /** The pace of an engine that does not tell it. */
   public static final int PACE_UNKNOWN = 0;
 
@@ -29,7 +28,7 @@
   }
 
   /** Whether the engine says how long work takes there now: it shares its machine with others. */
-  public boolean tellsPace() {
-    return paceInHundredths != PACE_UNKNOWN;
+  public boolean hasPace() {
+    return pacePercent != PACE_UNKNOWN;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineProtocol.java
@@ -10,7 +10,7 @@
   FullHttpRequest write(EngineCall call);
 
   /** The head of an answer. */
-  EngineAnswer read(HttpResponse head);
+  EngineResponse read(HttpResponse head);
 
   /** The path at which an engine reports its load. */
   String reportPath();
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorProtocol.java
@@ -5,8 +5,8 @@
 /** Reads operators' calls and writes answers for them. */
 public interface OperatorProtocol {
   /** What the exchange asks for. */
-  OperatorCall read(HttpExchange exchange);
+  OperatorRequest read(HttpExchange exchange);
 
   /** The answer to how far a store is emptied. */
-  byte[] writeEmptying(boolean done);
+  byte[] writeRetirement(boolean done);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
@@ -55,7 +55,7 @@
   private static final String FOUNDERS_FILE = "founders";
 
   /** How long a stop waits for calls in progress; longer than an operator's call may take. */
-  private static final long CALLS_DRAIN_MS = OperatorEndpoint.CALL_TIMEOUT_MS + 100;
+  private static final long DRAIN_TIMEOUT_MS = OperatorEndpoint.CALL_TIMEOUT_MS + 100;
 
   private static final HttpLimits HTTP_LIMITS =
       new HttpLimits(16 * 1024, 8 * 1024 * 1024, 8 * 1024 * 1024, 2_000, 20_000);
@@ -84,7 +84,7 @@
   private Result<Void, StorageError> run(
       DataFolder folder, TransportTls tls, FleetAdapter adapter) {
     FleetSettings fleet = settings.fleet();
-    Result<Set<String>, StorageError> founders = founders(folder);
+    Result<Set<String>, StorageError> founders = loadFounders(folder);
     if (!founders.isOk()) {
       return Result.err(founders.error());
     }
@@ -97,7 +97,7 @@
     contacts.forEach(address -> pool.learn(MemberIds.of(address), address));
     FleetStateMachine state = new FleetStateMachine();
     Result<ReplicaHost, StorageError> host =
-        ReplicaHost.open(options(state, founders.value(), contacts), folder, pool);
+        ReplicaHost.open(replicaOptions(state, founders.value(), contacts), folder, pool);
     if (!host.isOk()) {
       return Result.err(host.error());
     }
@@ -107,7 +107,7 @@
   }
 
   /** The first members of the group, for a process of the first start; kept for a restart. */
-  private Result<Set<String>, StorageError> founders(DataFolder folder) {
+  private Result<Set<String>, StorageError> loadFounders(DataFolder folder) {
     Optional<String> stored = folder.readFile(FOUNDERS_FILE);
     if (stored.isEmpty() && settings.firstStart()) {
       String list = String.join(",", settings.fleet().seedAddresses());
@@ -121,16 +121,16 @@
         stored.map(list -> Set.copyOf(Arrays.asList(list.split(",")))).orElse(Set.of()));
   }
 
-  private ReplicaHost.Options options(
+  private ReplicaHost.Options replicaOptions(
       FleetStateMachine state, Set<String> founders, Set<String> contacts) {
     FleetSettings fleet = settings.fleet();
     String address = fleet.listen().toString();
     JoinSettings join =
         new JoinSettings(
-            founders.contains(address) ? ids(founders) : Set.of(),
-            ids(contacts),
+            founders.contains(address) ? memberIds(founders) : Set.of(),
+            memberIds(contacts),
             address,
-            MembershipPolicy.openFor(fleet.toleratedLosses()));
+            MembershipPolicy.openTolerating(fleet.toleratedLosses()));
     return new ReplicaHost.Options(
         FLEET_GROUP,
         MemberIds.of(address),
@@ -140,7 +140,7 @@
         MAX_SEGMENT_BYTES);
   }
 
-  private static Set<Integer> ids(Set<String> addresses) {
+  private static Set<Integer> memberIds(Set<String> addresses) {
     return addresses.stream().map(MemberIds::of).collect(Collectors.toSet());
   }
 
@@ -175,12 +175,12 @@
             fleet.minMembers(),
             fleet.limitWindowMs(),
             poller::setPolling,
-            lastKnown.atStart());
+            lastKnown.recovered());
     contacts = new CoordinatorContacts(fleet, pool, eventLoops);
-    FleetProcess self = describe(folder.incarnation());
+    FleetProcess self = describeSelf(folder.incarnation());
     FleetFollower follower =
         contacts.follower(eventLoop, () -> new FleetFollower.SelfReport(self, false, null));
-    follower.onChange(view -> keep(view, follower, lastKnown));
+    follower.onChange(view -> saveIfConfirmed(view, follower, lastKnown));
     lastKnown.start();
     resources.push(
         new PeerServer(
@@ -191,7 +191,7 @@
             (message, reply) -> route(message, reply, host, membership[0])));
     resources.push(host);
     host.start(membership[0]);
-    GatewayNaming naming = new GatewayNaming(settings.namedGatewaysShare());
+    GatewaySelector naming = new GatewaySelector(settings.namedGatewaysShare());
     DirectoryEndpoint directory =
         new DirectoryEndpoint(adapter.directory(), follower::view, naming);
     serve(settings.directoryListen(), eventLoops, directory::handle);
@@ -208,7 +208,7 @@
         host::status,
         pool,
         resources,
-        registry -> NamedGateways.bind(registry, follower::view, naming));
+        registry -> GatewaySelectionMetrics.bind(registry, follower::view, naming));
     logStarted(self);
   }
 
@@ -228,13 +228,14 @@
   }
 
   /** Keeps what a leader told; what another coordinator knew last may be older than the file. */
-  private static void keep(FleetView view, FleetFollower follower, LastKnownFleet lastKnown) {
+  private static void saveIfConfirmed(
+      FleetView view, FleetFollower follower, LastKnownFleet lastKnown) {
     if (follower.isConfirmed()) {
       lastKnown.offer(view);
     }
   }
 
-  private FleetProcess describe(long incarnation) {
+  private FleetProcess describeSelf(long incarnation) {
     FleetSettings fleet = settings.fleet();
     return new FleetProcess(
         fleet.name(),
@@ -278,7 +279,7 @@
     EVENTS.log(EventCode.PROCESS_STOPPING, "role", "coordinator", "id", settings.fleet().name());
     servers.forEach(HttpServer::closeConnectionsAfterResponses);
     host.transferLeadership();
-    servers.forEach(server -> server.drain(CALLS_DRAIN_MS));
+    servers.forEach(server -> server.drain(DRAIN_TIMEOUT_MS));
     resources.closeAll();
     EVENTS.log(EventCode.PROCESS_STOPPED, "role", "coordinator", "id", settings.fleet().name());
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
@@ -25,7 +25,7 @@
     HostPort engineList,
     int engineListIntervalMs,
     double namedGatewaysShare) {
-  private static final int DEFAULT_INTERVAL_MS = 800;
+  private static final int DEFAULT_ENGINE_LIST_INTERVAL_MS = 800;
 
   /**
    * With half of 47 gateways a crest of 458 requests a second is 19 at each, 4 ms of a core each.
@@ -45,7 +45,7 @@
             reader.path("data_folder"),
             reader.bool("first_start", false),
             reader.address("engine_list"),
-            reader.integer("engine_list_interval_ms", DEFAULT_INTERVAL_MS, 100, 10_000),
+            reader.integer("engine_list_interval_ms", DEFAULT_ENGINE_LIST_INTERVAL_MS, 100, 10_000),
             reader.decimal(
                 "named_gateways_share", DEFAULT_NAMED_SHARE, MIN_NAMED_SHARE, MAX_NAMED_SHARE));
     return reader.finish(settings);
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/DirectoryEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/DirectoryEndpoint.java
@@ -15,26 +15,26 @@
 /** Tells callers which gateways to use: those of their own zone while there are enough of them. */
 final class DirectoryEndpoint {
   private static final int MAX_ADDRESSES = 64;
-  private static final int ENOUGH_IN_ZONE = 2;
+  private static final int MIN_GATEWAYS_IN_ZONE = 2;
   private static final long VALID_SECONDS = 2;
 
   private final DirectoryProtocol protocol;
   private final Supplier<FleetView> view;
-  private final GatewayNaming naming;
+  private final GatewaySelector selector;
 
-  DirectoryEndpoint(DirectoryProtocol protocol, Supplier<FleetView> view, GatewayNaming naming) {
+  DirectoryEndpoint(DirectoryProtocol protocol, Supplier<FleetView> view, GatewaySelector naming) {
     this.protocol = protocol;
     this.view = view;
-    this.naming = naming;
+    this.selector = naming;
   }
 
   void handle(HttpExchange exchange) {
-    Optional<DirectoryProtocol.Question> question = protocol.read(exchange);
+    Optional<DirectoryProtocol.Query> question = protocol.read(exchange);
     if (question.isEmpty()) {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
       return;
     }
-    List<String> addresses = choose(question.get().zone());
+    List<String> addresses = selectAddresses(question.get().zone());
     if (addresses.isEmpty()) {
       exchange.sendError(ApiError.unavailable("no_gateway", "no gateway is ready", 1_000));
     } else {
@@ -42,7 +42,7 @@
     }
   }
 
-  private List<String> choose(String zone) {
+  private List<String> selectAddresses(String zone) {
     List<FleetProcess> near = new ArrayList<>();
     List<FleetProcess> all = new ArrayList<>();
     for (FleetProcess gateway : view.get().withRole(FleetRole.GATEWAY)) {
@@ -55,7 +55,7 @@
       }
     }
     List<String> chosen = new ArrayList<>();
-    for (FleetProcess gateway : naming.choose(near.size() >= ENOUGH_IN_ZONE ? near : all)) {
+    for (FleetProcess gateway : selector.select(near.size() >= MIN_GATEWAYS_IN_ZONE ? near : all)) {
       chosen.add(gateway.serviceAddress());
     }
     Collections.shuffle(chosen);
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
@@ -18,11 +18,11 @@
 final class EngineListPoller {
   private static final EventLog EVENTS = EventLog.of(EngineListPoller.class);
   private static final long CALL_TIMEOUT_MS = 900;
-  private static final long FAILURE_PAUSE_MS = 300;
+  private static final long RETRY_DELAY_MS = 300;
   private static final int MAX_PAGES = 1_000;
 
   /** About 100 bytes each. */
-  private static final int MAX_REJECTED = 256;
+  private static final int MAX_LOGGED_REJECTIONS = 256;
 
   private final EventLoop eventLoop;
   private final HttpFetcher fetcher;
@@ -30,8 +30,8 @@
   private final HostPort address;
   private final long intervalMs;
   private final Consumer<List<EngineInstance>> listener;
-  private final Set<String> rejected = new HashSet<>();
-  private long round;
+  private final Set<String> loggedRejections = new HashSet<>();
+  private long generation;
   private boolean polling;
   private boolean reachable = true;
 
@@ -54,15 +54,15 @@
     eventLoop.execute(
         () -> {
           polling = on;
-          round++;
+          generation++;
           if (on) {
-            readPage(round, null, new ArrayList<>(), 1);
+            readPage(generation, null, new ArrayList<>(), 1);
           }
         });
   }
 
   private void readPage(long ofRound, String page, List<EngineInstance> read, int pages) {
-    if (!polling || ofRound != round) {
+    if (!polling || ofRound != generation) {
       return;
     }
     fetcher
@@ -79,32 +79,32 @@
         EVENTS.log(EventCode.ENGINE_LIST_UNREACHABLE, "address", address, "reason", page.error());
       }
       reachable = false;
-      again(ofRound, FAILURE_PAUSE_MS);
+      scheduleNext(ofRound, RETRY_DELAY_MS);
       return;
     }
     reachable = true;
-    page.value().rejected().forEach(this::noteRejected);
+    page.value().rejected().forEach(this::logRejectedOnce);
     read.addAll(page.value().engines());
     String next = page.value().nextPage();
     if (next != null && pages < MAX_PAGES) {
       readPage(ofRound, next, read, pages + 1);
     } else {
       listener.accept(read);
-      again(ofRound, intervalMs);
+      scheduleNext(ofRound, intervalMs);
     }
   }
 
   /** An entry that stays in the list is told once, as long as few others come. */
-  private void noteRejected(String reason) {
-    if (rejected.size() >= MAX_REJECTED) {
-      rejected.clear();
+  private void logRejectedOnce(String reason) {
+    if (loggedRejections.size() >= MAX_LOGGED_REJECTIONS) {
+      loggedRejections.clear();
     }
-    if (rejected.add(reason)) {
+    if (loggedRejections.add(reason)) {
       EVENTS.log(EventCode.ENGINE_ENTRY_REJECTED, "reason", reason);
     }
   }
 
-  private void again(long ofRound, long pauseMs) {
+  private void scheduleNext(long ofRound, long pauseMs) {
     eventLoop.schedule(
         () -> readPage(ofRound, null, new ArrayList<>(), 1), pauseMs, TimeUnit.MILLISECONDS);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
@@ -43,7 +43,7 @@
   private static final long PROCESS_TIMEOUT_MS = 1_500;
 
   /** How long a new leader listens before it tells who is there. */
-  private static final long COLLECTION_MS = 1_000;
+  private static final long COLLECTION_PERIOD_MS = 1_000;
 
   /** How long no further store may have come before the groups of jobs are founded. */
   private static final long FOUNDING_SETTLE_MS = 700;
@@ -55,17 +55,17 @@
   private final ControllerClock clock;
   private final int minStores;
   private final TenantAdmission tenants;
-  private final QuarantineKeeper quarantine;
+  private final QuarantineManager quarantine;
   private final Consumer<Boolean> leadershipListener;
-  private final LastKnownAnswers lastKnown;
+  private final LastKnownResponder lastKnown;
   private final VersionedList<FleetProcess> processes = new VersionedList<>();
   private final VersionedList<EngineInstance> engines = new VersionedList<>();
-  private final Map<String, Long> lastHeardMs = new HashMap<>();
+  private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
   private final TreeMap<Integer, FleetProcess> founders = new TreeMap<>();
   private final JobsGroupRegistry jobsGroups;
   private boolean leading;
   private long epoch;
-  private long leadsSinceMs;
+  private long leaderSinceMs;
   private boolean enginesKnown;
   private long newestFounderMs;
   private boolean foundingProposed;
@@ -86,13 +86,13 @@
       long limitWindowMs,
       Consumer<Boolean> leadershipListener,
       Optional<FleetUpdate> lastKnown) {
-    this.lastKnown = new LastKnownAnswers(lastKnown, clock.monotonicMs());
+    this.lastKnown = new LastKnownResponder(lastKnown, clock.monotonicMs());
     this.group = group;
     this.state = state;
     this.clock = clock;
     this.minStores = minStores;
     this.tenants = new TenantAdmission(group, state, limitWindowMs);
-    this.quarantine = new QuarantineKeeper(group, state, clock);
+    this.quarantine = new QuarantineManager(group, state, clock);
     this.jobsGroups = new JobsGroupRegistry(JobsGroupFounding.targetSize(minStores));
     this.leadershipListener = leadershipListener;
   }
@@ -105,7 +105,7 @@
       onLeadershipChanged(leads, nowMs);
     }
     if (leading) {
-      expireProcesses(nowMs);
+      removeExpiredProcesses(nowMs);
       tenants.expire(nowMs);
       quarantine.onStep(nowMs);
       foundJobsGroupsIfReady(nowMs);
@@ -115,10 +115,10 @@
   private void onLeadershipChanged(boolean leads, long nowMs) {
     leading = leads;
     epoch = group.replica().term();
-    leadsSinceMs = nowMs;
+    leaderSinceMs = nowMs;
     processes.clear();
     engines.clear();
-    lastHeardMs.clear();
+    lastHeartbeatMs.clear();
     founders.clear();
     enginesKnown = false;
     foundingProposed = false;
@@ -128,9 +128,9 @@
     leadershipListener.accept(leads);
   }
 
-  private void expireProcesses(long nowMs) {
+  private void removeExpiredProcesses(long nowMs) {
     for (String name : processes.keys()) {
-      long silentMs = nowMs - lastHeardMs.getOrDefault(name, nowMs);
+      long silentMs = nowMs - lastHeartbeatMs.getOrDefault(name, nowMs);
       if (silentMs > PROCESS_TIMEOUT_MS) {
         processes.remove(name);
         EVENTS.log(EventCode.PROCESS_LOST, "process", name, "silent_ms", silentMs);
@@ -147,16 +147,16 @@
   void onHeartbeat(FleetHeartbeat heartbeat, ReplySink reply) {
     long nowMs = clock.monotonicMs();
     if (isLeaderUnknown()) {
-      Optional<FleetUpdate> told = lastKnown.withoutLeader(heartbeat, nowMs);
+      Optional<FleetUpdate> told = lastKnown.answerWithoutLeader(heartbeat, nowMs);
       if (told.isPresent()) {
-        tellLastKnown(heartbeat, told.get(), reply);
+        replyLastKnown(heartbeat, told.get(), reply);
         return;
       }
     }
     group.readLinearizably(() -> answer(heartbeat, reply), reply, nowMs);
   }
 
-  private static void tellLastKnown(FleetHeartbeat heartbeat, FleetUpdate told, ReplySink reply) {
+  private static void replyLastKnown(FleetHeartbeat heartbeat, FleetUpdate told, ReplySink reply) {
     if (told.routes() != null) {
       String process = heartbeat.sender().name();
       long version = told.routes().version();
@@ -166,7 +166,7 @@
   }
 
   private boolean isLeaderUnknown() {
-    return group.replica().leaderId() == RecoveredState.NO_VOTE;
+    return group.replica().leaderId() == RecoveredState.NO_REPLICA;
   }
 
   private void answer(FleetHeartbeat heartbeat, ReplySink reply) {
@@ -174,7 +174,7 @@
     if (!leading) {
       onLeadershipChanged(true, nowMs);
     }
-    note(heartbeat, nowMs);
+    recordHeartbeat(heartbeat, nowMs);
     List<String> contendedTenants =
         tenants.onHeartbeat(heartbeat.sender(), heartbeat.tenantUse(), nowMs);
     reply.reply(
@@ -190,7 +190,7 @@
             quarantine.newerThan(heartbeat.quarantineVersion())));
   }
 
-  private void note(FleetHeartbeat heartbeat, long nowMs) {
+  private void recordHeartbeat(FleetHeartbeat heartbeat, long nowMs) {
     FleetProcess sender = heartbeat.sender();
     if (processes.get(sender.name()) == null) {
       EVENTS.log(
@@ -203,17 +203,17 @@
           sender.peerAddress());
     }
     processes.put(sender.name(), sender);
-    lastHeardMs.put(sender.name(), nowMs);
+    lastHeartbeatMs.put(sender.name(), nowMs);
     JobsGroupReport report = heartbeat.jobsGroup();
     if (report != null) {
-      jobsGroups.report(report);
+      jobsGroups.onReport(report);
     }
     if (sender.role() == FleetRole.STORE && heartbeat.mayFound()) {
-      noteFounder(sender, nowMs);
+      recordFounder(sender, nowMs);
     }
   }
 
-  private void noteFounder(FleetProcess sender, long nowMs) {
+  private void recordFounder(FleetProcess sender, long nowMs) {
     FleetProcess known = founders.put(sender.memberId(), sender);
     if (known == null || known.incarnation() != sender.incarnation()) {
       newestFounderMs = nowMs;
@@ -223,7 +223,7 @@
   /** Decides on one request of a contended tenant. */
   void onAdmission(AdmissionRequest request, ReplySink reply) {
     long nowMs = clock.monotonicMs();
-    boolean allHeard = leading && nowMs - leadsSinceMs >= COLLECTION_MS;
+    boolean allHeard = leading && nowMs - leaderSinceMs >= COLLECTION_PERIOD_MS;
     reply.reply(tenants.decide(request, allHeard, nowMs));
   }
 
@@ -233,12 +233,12 @@
   }
 
   private List<Integer> leavingMembers() {
-    return state.leaving().stream().map(SetStoreLeaving::memberId).toList();
+    return state.leavingStores().stream().map(SetStoreLeaving::memberId).toList();
   }
 
   /** The group that a store is to keep; a new leader waits until all could report theirs. */
   private int groupFor(FleetProcess sender, long nowMs) {
-    if (sender.role() != FleetRole.STORE || nowMs - leadsSinceMs < COLLECTION_MS) {
+    if (sender.role() != FleetRole.STORE || nowMs - leaderSinceMs < COLLECTION_PERIOD_MS) {
       return sender.jobsGroup();
     }
     int assigned =
@@ -269,7 +269,7 @@
   }
 
   private RouteTable routesFor(FleetHeartbeat heartbeat) {
-    RouteTable held = state.table().orElse(null);
+    RouteTable held = state.routeTable().orElse(null);
     if (held == null || held.version() <= heartbeat.routeVersion()) {
       return null;
     }
@@ -287,7 +287,7 @@
   }
 
   private ProcessListDelta processesFor(FleetHeartbeat heartbeat, long nowMs) {
-    if (nowMs - leadsSinceMs < COLLECTION_MS) {
+    if (nowMs - leaderSinceMs < COLLECTION_PERIOD_MS) {
       return null;
     }
     VersionedList.Delta<FleetProcess> delta =
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/NamedGateways.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelectionMetrics.java
@@ -11,21 +11,21 @@
 import java.util.stream.Collectors;
 
 /** How many gateways callers of all zones are told of, as a metric of a coordinator. */
-final class NamedGateways {
-  private static final String NAME = "pathdeck.gateways.named";
-  private static final String LABEL = "by";
+final class GatewaySelectionMetrics {
+  private static final String METRIC_NAME = "pathdeck.gateways.named";
+  private static final String RULE_TAG = "by";
 
-  private NamedGateways() {}
+  private GatewaySelectionMetrics() {}
 
   /** Publishes the counts of what {@code naming} names of the gateways in {@code view}. */
-  static void bind(MeterRegistry registry, Supplier<FleetView> view, GatewayNaming naming) {
-    bind(registry, "size", () -> count(gateways(view.get()), naming, true));
-    bind(registry, "order", () -> count(gateways(view.get()), naming, false));
+  static void bind(MeterRegistry registry, Supplier<FleetView> view, GatewaySelector naming) {
+    bind(registry, "size", () -> countSelected(gateways(view.get()), naming, true));
+    bind(registry, "order", () -> countSelected(gateways(view.get()), naming, false));
   }
 
   /** Holds {@code count}, of which nobody else keeps a reference. */
   private static void bind(MeterRegistry registry, String by, Supplier<Number> count) {
-    Gauge.builder(NAME, count).tag(LABEL, by).strongReference(true).register(registry);
+    Gauge.builder(METRIC_NAME, count).tag(RULE_TAG, by).strongReference(true).register(registry);
   }
 
   private static List<FleetProcess> gateways(FleetView view) {
@@ -33,14 +33,14 @@
   }
 
   /** The gateways named in the zones whose gateways differ in size, or in those where not. */
-  static int count(List<FleetProcess> gateways, GatewayNaming naming, boolean bySize) {
+  static int countSelected(List<FleetProcess> gateways, GatewaySelector naming, boolean bySize) {
     Map<String, List<FleetProcess>> readyByZone =
         gateways.stream()
             .filter(FleetProcess::ready)
             .collect(Collectors.groupingBy(FleetProcess::zone));
     return readyByZone.values().stream()
-        .filter(zone -> GatewayNaming.differInSize(zone) == bySize)
-        .mapToInt(zone -> naming.choose(zone).size())
+        .filter(zone -> GatewaySelector.differInSize(zone) == bySize)
+        .mapToInt(zone -> naming.select(zone).size())
         .sum();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewayNaming.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelector.java
@@ -18,20 +18,20 @@
  * ones gets as many requests as they do. Hence small ones are named only when too few large ones
  * are ready, and then enough of them.
  */
-final class GatewayNaming {
+final class GatewaySelector {
   /** So many are named in any case: small fleets need all of theirs to bear losses. */
-  static final int MIN_NAMED = 6;
+  static final int MIN_SELECTED = 6;
 
   /**
    * So many are named in any case where sizes differ: when two of them are lost at once, the others
    * bear half of what is needed, until callers are told of the gateways in their place.
    */
-  static final int MIN_NAMED_BY_SIZE = 4;
+  static final int MIN_SELECTED_BY_SIZE = 4;
 
   private static final Comparator<FleetProcess> BY_RANK =
-      Comparator.comparingInt(GatewayNaming::rank).thenComparing(FleetProcess::name);
+      Comparator.comparingInt(GatewaySelector::rank).thenComparing(FleetProcess::name);
 
-  private static final Comparator<FleetProcess> LARGE_FIRST =
+  private static final Comparator<FleetProcess> LARGEST_FIRST =
       Comparator.comparingDouble(FleetProcess::cores).reversed().thenComparing(BY_RANK);
 
   private final double share;
@@ -41,15 +41,15 @@
    *
    * @param share the part of the ready gateways that is named where there are many, up to 1
    */
-  GatewayNaming(double share) {
+  GatewaySelector(double share) {
     this.share = share;
   }
 
   /** The gateways of {@code ready} that are named, the same whatever their order. */
-  List<FleetProcess> choose(List<FleetProcess> ready) {
-    int count = Math.max(MIN_NAMED, (int) Math.ceil(share * ready.size()));
+  List<FleetProcess> select(List<FleetProcess> ready) {
+    int count = Math.max(MIN_SELECTED, (int) Math.ceil(share * ready.size()));
     if (differInSize(ready)) {
-      return chooseLargest(ready, Math.min(count, ready.size()));
+      return selectLargest(ready, Math.min(count, ready.size()));
     }
     return ready.stream().sorted(BY_RANK).limit(count).toList();
   }
@@ -62,10 +62,10 @@
   }
 
   /** The fewest of the largest that bear what {@code count} of the smallest size would. */
-  private static List<FleetProcess> chooseLargest(List<FleetProcess> ready, int count) {
-    List<FleetProcess> sorted = ready.stream().sorted(LARGE_FIRST).toList();
+  private static List<FleetProcess> selectLargest(List<FleetProcess> ready, int count) {
+    List<FleetProcess> sorted = ready.stream().sorted(LARGEST_FIRST).toList();
     double neededCores = count * sorted.get(sorted.size() - 1).cores();
-    int named = Math.min(MIN_NAMED_BY_SIZE, count);
+    int named = Math.min(MIN_SELECTED_BY_SIZE, count);
     while (named < count && named * sorted.get(named - 1).cores() < neededCores) {
       named++;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/HttpFetcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/HttpFetcher.java
@@ -50,7 +50,7 @@
                   protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new HttpClientCodec());
                     channel.pipeline().addLast(new HttpObjectAggregator(MAX_DOCUMENT_LENGTH));
-                    channel.pipeline().addLast(new AnswerHandler(outcome));
+                    channel.pipeline().addLast(new ResponseHandler(outcome));
                   }
                 })
             .connect(address.toSocketAddress());
@@ -81,10 +81,10 @@
     return request;
   }
 
-  private static final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final CompletableFuture<Result<byte[], String>> outcome;
 
-    AnswerHandler(CompletableFuture<Result<byte[], String>> outcome) {
+    ResponseHandler(CompletableFuture<Result<byte[], String>> outcome) {
       this.outcome = outcome;
     }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupFounding.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupFounding.java
@@ -44,7 +44,8 @@
       members.stream()
           .filter(group -> group.size() < target)
           .min(
-              Comparator.<List<FleetProcess>>comparingLong(group -> inZone(group, store.zone()))
+              Comparator.<List<FleetProcess>>comparingLong(
+                      group -> countInZone(group, store.zone()))
                   .thenComparing(List::size))
           .ifPresent(group -> group.add(store));
     }
@@ -55,7 +56,7 @@
     return founded;
   }
 
-  private static long inZone(List<FleetProcess> group, String zone) {
+  private static long countInZone(List<FleetProcess> group, String zone) {
     return group.stream().filter(store -> store.zone().equals(zone)).count();
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupRegistry.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupRegistry.java
@@ -36,7 +36,7 @@
   private final Map<Integer, Integer> assigned = new HashMap<>();
   private final Map<Integer, Long> incompleteSinceMs = new HashMap<>();
   private final Set<Integer> waiting = new HashSet<>();
-  private long leadsSinceMs = Long.MIN_VALUE / 2;
+  private long leaderSinceMs = Long.MIN_VALUE / 2;
 
   /**
    * Creates an empty registry.
@@ -49,7 +49,7 @@
 
   /** Forgets what was learnt under an earlier leadership; the one of this coordinator begins. */
   void clear(long nowMs) {
-    leadsSinceMs = nowMs;
+    leaderSinceMs = nowMs;
     reports.clear();
     assigned.clear();
     incompleteSinceMs.clear();
@@ -57,7 +57,7 @@
   }
 
   /** Takes over what the leader of a group says of it; an older leader's word does not count. */
-  void report(JobsGroupReport report) {
+  void onReport(JobsGroupReport report) {
     JobsGroupReport known = reports.get(report.group());
     if (known == null || report.term() >= known.term()) {
       reports.put(report.group(), report);
@@ -123,7 +123,7 @@
       Set<Integer> leaving,
       long nowMs) {
     Map<Integer, Integer> sizes = sizes(founded, processes, leaving);
-    noteIncomplete(sizes, nowMs);
+    updateIncompleteSince(sizes, nowMs);
     Optional<Integer> smallest = sizes.keySet().stream().min(Comparator.comparing(sizes::get));
     if (smallest.isEmpty() || sizes.get(smallest.get()) >= targetSize) {
       waiting.add(store.memberId());
@@ -133,7 +133,7 @@
     boolean lostMemberMayReturn =
         waiting.contains(store.memberId())
             && nowMs - incompleteSinceMs.get(group) < REPLACEMENT_DELAY_MS;
-    boolean membersMayStillStart = nowMs - leadsSinceMs < REPLACEMENT_DELAY_MS;
+    boolean membersMayStillStart = nowMs - leaderSinceMs < REPLACEMENT_DELAY_MS;
     if (lostMemberMayReturn || membersMayStillStart) {
       return FleetProcess.NO_GROUP;
     }
@@ -156,7 +156,7 @@
     return sizes;
   }
 
-  private void noteIncomplete(Map<Integer, Integer> sizes, long nowMs) {
+  private void updateIncompleteSince(Map<Integer, Integer> sizes, long nowMs) {
     sizes.forEach(
         (group, size) -> {
           if (size >= targetSize) {
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownFleet.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownFleet.java
@@ -24,7 +24,7 @@
  * until there is a leader to ask. It holds committed configurations only, so a process that begins
  * with it never has to go back. It may be out of date, and therefore goes only to processes that no
  * leader has told the fleet, only shortly after the start of this process ({@link
- * LastKnownAnswers}), and is acted on only shortly after the start of those: by then a leader
+ * LastKnownResponder}), and is acted on only shortly after the start of those: by then a leader
  * should have told what is in force.
  *
  * <p>A thread of its own writes it, for the disk may hang: at most once every {@value
@@ -37,15 +37,15 @@
   private static final long NANOS_PER_MS = 1_000_000;
 
   private final DataFolder folder;
-  private final Optional<FleetUpdate> atStart;
-  private final AtomicReference<FleetView> newest = new AtomicReference<>();
+  private final Optional<FleetUpdate> recovered;
+  private final AtomicReference<FleetView> latest = new AtomicReference<>();
   private final Thread writer = new Thread(this::writeChanges, "last-known-fleet");
   private volatile boolean closed;
 
   /** Reads what an earlier process wrote; {@link #start} begins to write. */
   LastKnownFleet(DataFolder folder) {
     this.folder = folder;
-    this.atStart = folder.readFile(FILE).flatMap(LastKnownFleet::decode);
+    this.recovered = folder.readFile(FILE).flatMap(LastKnownFleet::decode);
     writer.setDaemon(true);
   }
 
@@ -54,8 +54,8 @@
   }
 
   /** What an earlier process knew; empty when there was none, or its file is damaged. */
-  Optional<FleetUpdate> atStart() {
-    return atStart;
+  Optional<FleetUpdate> recovered() {
+    return recovered;
   }
 
   /**
@@ -67,7 +67,7 @@
     if (!view.isComplete()) {
       return;
     }
-    FleetView before = newest.getAndSet(view);
+    FleetView before = latest.getAndSet(view);
     if (before != null && !before.quarantine().equals(view.quarantine())) {
       LockSupport.unpark(writer);
     }
@@ -76,7 +76,7 @@
   private void writeChanges() {
     FleetView written = null;
     while (!closed) {
-      FleetView view = newest.get();
+      FleetView view = latest.get();
       if (view != null && !view.equals(written)) {
         Result<Void, StorageError> result = folder.writeFile(FILE, encode(view));
         if (!result.isOk()) {
@@ -119,14 +119,14 @@
       Result<FleetUpdate, ObjectCodec.CodecError> decoded =
           ObjectCodec.decode(bytes, FleetUpdate.class);
       return decoded.isOk()
-          ? Optional.of(decoded.value()).filter(LastKnownFleet::isWhole)
+          ? Optional.of(decoded.value()).filter(LastKnownFleet::isComplete)
           : Optional.empty();
     } catch (IllegalArgumentException e) {
       return Optional.empty();
     }
   }
 
-  private static boolean isWhole(FleetUpdate update) {
+  private static boolean isComplete(FleetUpdate update) {
     return update.routes() != null && update.engines() != null && update.processes() != null;
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownAnswers.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownResponder.java
@@ -20,40 +20,40 @@
  * Both end soon after the start: later a newer configuration may be in force, and engines may have
  * moved.
  */
-final class LastKnownAnswers {
+final class LastKnownResponder {
   /**
    * How long all of it is told: one election that fails and one that succeeds. It counts from when
    * this coordinator can answer, for a slow machine takes most of that time to start.
    */
-  static final long TOLD_MS = 2_000;
+  static final long ANSWER_WINDOW_MS = 2_000;
 
   /** How long a leader tells the engines: an election, and some reads of the list that fail. */
-  static final long ENGINES_TOLD_MS = 4_000;
+  static final long ENGINE_LIST_WINDOW_MS = 4_000;
 
   private final Optional<FleetUpdate> lastKnown;
-  private final long answersSinceMs;
+  private final long servingSinceMs;
 
   /**
    * Begins to tell.
    *
-   * @param answersSinceMs from when on this coordinator can answer
+   * @param servingSinceMs from when on this coordinator can answer
    */
-  LastKnownAnswers(Optional<FleetUpdate> lastKnown, long answersSinceMs) {
-    this.lastKnown = lastKnown.map(LastKnownAnswers::counted);
-    this.answersSinceMs = answersSinceMs;
+  LastKnownResponder(Optional<FleetUpdate> lastKnown, long servingSinceMs) {
+    this.lastKnown = lastKnown.map(LastKnownResponder::withListSequence);
+    this.servingSinceMs = servingSinceMs;
   }
 
   /** The list of engines with a sequence, by which processes that know it can be told apart. */
-  private static FleetUpdate counted(FleetUpdate update) {
-    return copy(
+  private static FleetUpdate withListSequence(FleetUpdate update) {
+    return copyWith(
         update,
         update.routes(),
-        engines(true, update.engines().changed()),
+        engineDelta(true, update.engines().changed()),
         update.processes(),
         update.quarantine());
   }
 
-  private static EngineListDelta engines(boolean full, List<EngineInstance> changed) {
+  private static EngineListDelta engineDelta(boolean full, List<EngineInstance> changed) {
     return new EngineListDelta(
         FleetUpdate.NO_LEADERS_EPOCH,
         full,
@@ -62,7 +62,7 @@
         FleetUpdate.NO_LEADERS_SEQUENCE);
   }
 
-  private static FleetUpdate copy(
+  private static FleetUpdate copyWith(
       FleetUpdate update,
       RouteTable routes,
       EngineListDelta engines,
@@ -84,24 +84,24 @@
    * The answer of a coordinator that knows no leader; empty when it has none to give. A process
    * that holds the same or newer routes hears only that no leader is known.
    */
-  Optional<FleetUpdate> withoutLeader(FleetHeartbeat heartbeat, long nowMs) {
-    boolean told = nowMs - answersSinceMs < TOLD_MS;
+  Optional<FleetUpdate> answerWithoutLeader(FleetHeartbeat heartbeat, long nowMs) {
+    boolean told = nowMs - servingSinceMs < ANSWER_WINDOW_MS;
     if (!told || heartbeat.engineEpoch() != FleetUpdate.NO_LEADERS_EPOCH) {
       return Optional.empty();
     }
-    return lastKnown.map(known -> holdsRoutes(heartbeat, known) ? repetition(known) : known);
+    return lastKnown.map(known -> hasRoutes(heartbeat, known) ? withoutLists(known) : known);
   }
 
-  private static boolean holdsRoutes(FleetHeartbeat heartbeat, FleetUpdate known) {
+  private static boolean hasRoutes(FleetHeartbeat heartbeat, FleetUpdate known) {
     return heartbeat.routeVersion() >= known.routes().version();
   }
 
   /** The lists are left out: a repetition goes to each process many times in a second. */
-  private static FleetUpdate repetition(FleetUpdate known) {
+  private static FleetUpdate withoutLists(FleetUpdate known) {
     ProcessListDelta noProcesses =
         new ProcessListDelta(
             FleetUpdate.NO_LEADERS_EPOCH, false, new ArrayList<>(), new ArrayList<>(), 0);
-    return copy(known, null, engines(false, new ArrayList<>()), noProcesses, null);
+    return copyWith(known, null, engineDelta(false, new ArrayList<>()), noProcesses, null);
   }
 
   /** What a leader that has not read the list of engines tells of it; null for nothing. */
@@ -109,7 +109,7 @@
     boolean knowsNone =
         heartbeat.engineEpoch() == FleetUpdate.NO_LEADERS_EPOCH
             && heartbeat.engineSequence() < FleetUpdate.NO_LEADERS_SEQUENCE;
-    boolean told = nowMs - answersSinceMs < ENGINES_TOLD_MS;
+    boolean told = nowMs - servingSinceMs < ENGINE_LIST_WINDOW_MS;
     return knowsNone && told ? lastKnown.map(FleetUpdate::engines).orElse(null) : null;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
@@ -3,8 +3,8 @@
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
 import io.pathdeck.common.result.Result;
-import io.pathdeck.fleet.adapter.OperatorCall;
 import io.pathdeck.fleet.adapter.OperatorProtocol;
+import io.pathdeck.fleet.adapter.OperatorRequest;
 import io.pathdeck.fleet.member.FleetView;
 import io.pathdeck.fleet.member.GroupCallError;
 import io.pathdeck.fleet.member.GroupClient;
@@ -52,31 +52,31 @@
   }
 
   void handle(HttpExchange exchange) {
-    OperatorCall call = protocol.read(exchange);
-    if (call instanceof OperatorCall.PutRoutes put) {
+    OperatorRequest call = protocol.read(exchange);
+    if (call instanceof OperatorRequest.PutRoutes put) {
       putRoutes(exchange, put.table());
-    } else if (call instanceof OperatorCall.ReadRoutes) {
+    } else if (call instanceof OperatorRequest.ReadRoutes) {
       readRoutes(exchange);
-    } else if (call instanceof OperatorCall.EmptyStore empty) {
-      emptyStore(exchange, empty.name());
-    } else if (call instanceof OperatorCall.ReadEmptying read) {
-      readEmptying(exchange, read.name());
-    } else if (call instanceof OperatorCall.Invalid invalid) {
-      refuse(exchange, invalid.reason());
+    } else if (call instanceof OperatorRequest.RetireStore empty) {
+      retireStore(exchange, empty.name());
+    } else if (call instanceof OperatorRequest.ReadRetirement read) {
+      readRetirement(exchange, read.name());
+    } else if (call instanceof OperatorRequest.Invalid invalid) {
+      sendInvalid(exchange, invalid.reason());
     } else {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
     }
   }
 
-  private static void refuse(HttpExchange exchange, String reason) {
+  private static void sendInvalid(HttpExchange exchange, String reason) {
     EVENTS.log(EventCode.ROUTES_REFUSED, "reason", reason);
     exchange.sendError(ApiError.invalid("invalid", reason));
   }
 
   private void putRoutes(HttpExchange exchange, RouteTable table) {
-    Optional<String> problem = RouteTableCheck.problem(table);
+    Optional<String> problem = RouteTableValidator.findProblem(table);
     if (problem.isPresent()) {
-      refuse(exchange, problem.get());
+      sendInvalid(exchange, problem.get());
       return;
     }
     propose(
@@ -88,7 +88,7 @@
             EVENTS.log(EventCode.ROUTES_ACCEPTED, "version", table.version());
             exchange.sendJson(200, new byte[] {'{', '}'});
           } else {
-            sendUnsure(exchange, result);
+            sendUnavailable(exchange, result);
           }
         });
   }
@@ -106,7 +106,7 @@
                   && reply.result() instanceof RouteTableResult read) {
                 sendRoutes(exchange, read.table());
               } else {
-                sendUnsure(exchange, result);
+                sendUnavailable(exchange, result);
               }
             });
   }
@@ -119,7 +119,7 @@
     }
   }
 
-  private void emptyStore(HttpExchange exchange, String name) {
+  private void retireStore(HttpExchange exchange, String name) {
     FleetView known = view.get();
     Optional<FleetProcess> store = known.store(name);
     if (store.isEmpty()) {
@@ -127,7 +127,7 @@
       return;
     }
     int memberId = store.get().memberId();
-    long remaining = remainingWithout(store.get(), known);
+    long remaining = countRemaining(store.get(), known);
     boolean keepsNothing = store.get().jobsGroup() == FleetProcess.NO_GROUP;
     boolean mayLeave = keepsNothing || known.leavingMembers().contains(memberId);
     if (!mayLeave && remaining < minStores) {
@@ -141,15 +141,15 @@
         result -> {
           if (result.isOk()) {
             EVENTS.log(EventCode.STORE_LEAVING, "store", name, "remaining", remaining);
-            exchange.sendJson(200, protocol.writeEmptying(false));
+            exchange.sendJson(200, protocol.writeRetirement(false));
           } else {
-            sendUnsure(exchange, result);
+            sendUnavailable(exchange, result);
           }
         });
   }
 
   /** The stores that keep the same group or wait to take a place in one, without {@code store}. */
-  private static long remainingWithout(FleetProcess store, FleetView known) {
+  private static long countRemaining(FleetProcess store, FleetView known) {
     return known.withRole(FleetRole.STORE).stream()
         .filter(other -> other.memberId() != store.memberId())
         .filter(
@@ -169,7 +169,7 @@
     }
   }
 
-  private void readEmptying(HttpExchange exchange, String name) {
+  private void readRetirement(HttpExchange exchange, String name) {
     FleetView known = view.get();
     Optional<FleetProcess> store = known.store(name);
     if (store.isEmpty()) {
@@ -182,7 +182,7 @@
             && known.jobsGroups().size() == known.jobsFounders().size()
             && known.jobsGroups().stream()
                 .allMatch(report -> report.configuration().find(memberId).isEmpty());
-    exchange.sendJson(200, protocol.writeEmptying(done));
+    exchange.sendJson(200, protocol.writeRetirement(done));
   }
 
   private void propose(Command command, Consumer<Result<Message, GroupCallError>> answer) {
@@ -194,7 +194,8 @@
         .thenAccept(answer);
   }
 
-  private static void sendUnsure(HttpExchange exchange, Result<Message, GroupCallError> result) {
+  private static void sendUnavailable(
+      HttpExchange exchange, Result<Message, GroupCallError> result) {
     String reason = result.isOk() ? "unexpected answer" : result.error().reason();
     exchange.sendError(ApiError.failed(503, "no_leader", reason, true));
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineKeeper.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
@@ -4,7 +4,7 @@
 import io.pathdeck.common.events.EventLog;
 import io.pathdeck.control.ControllerClock;
 import io.pathdeck.control.GroupRuntime;
-import io.pathdeck.fleet.quarantine.EngineEndLedger;
+import io.pathdeck.fleet.quarantine.CrashCauseDetector;
 import io.pathdeck.protocol.command.QuarantineRequests;
 import io.pathdeck.protocol.command.ReleaseRequests;
 import io.pathdeck.protocol.fleet.QuarantineList;
@@ -28,30 +28,30 @@
  * decided is replicated, so that a loss of power of all machines does not let a request loose that
  * ended engines before: it would end three more until it was found again.
  */
-final class QuarantineKeeper {
-  private static final EventLog EVENTS = EventLog.of(QuarantineKeeper.class);
+final class QuarantineManager {
+  private static final EventLog EVENTS = EventLog.of(QuarantineManager.class);
 
   /**
    * Long enough for callers to give up, short enough for a mended engine to be tried the same day.
    */
-  private static final long HOLD_MS = 600_000;
+  private static final long QUARANTINE_DURATION_MS = 600_000;
 
   private static final long STEP_INTERVAL_MS = 1_000;
 
   private final GroupRuntime group;
   private final FleetStateMachine state;
   private final ControllerClock clock;
-  private final EngineEndLedger ledger = new EngineEndLedger();
+  private final CrashCauseDetector ledger = new CrashCauseDetector();
 
   /** Since when this leader knows each request as held. */
-  private final Map<RequestFingerprint, Long> heldSinceMs = new HashMap<>();
+  private final Map<RequestFingerprint, Long> quarantinedSinceMs = new HashMap<>();
 
   /** Found, and not committed yet. */
   private final Set<RequestFingerprint> proposed = new HashSet<>();
 
   private long nextStepMs;
 
-  QuarantineKeeper(GroupRuntime group, FleetStateMachine state, ControllerClock clock) {
+  QuarantineManager(GroupRuntime group, FleetStateMachine state, ControllerClock clock) {
     this.group = group;
     this.state = state;
     this.clock = clock;
@@ -60,7 +60,7 @@
   /** Forgets everything, for a new leadership. */
   void clear() {
     ledger.clear();
-    heldSinceMs.clear();
+    quarantinedSinceMs.clear();
     proposed.clear();
   }
 
@@ -76,9 +76,9 @@
       return;
     }
     notice.served().forEach(ledger::clear);
-    notice.ends().forEach(end -> ledger.note(end, nowMs));
+    notice.ends().forEach(end -> ledger.add(end, nowMs));
     List<RequestFingerprint> causes = ledger.causes(state::isQuarantined);
-    releaseInnocent(causes);
+    releaseExonerated(causes);
     List<RequestFingerprint> found =
         causes.stream()
             .filter(request -> !state.isQuarantined(request) && proposed.add(request))
@@ -102,10 +102,10 @@
   }
 
   /** Requests that were beside causes which were not found yet when they were held back. */
-  private void releaseInnocent(List<RequestFingerprint> causes) {
+  private void releaseExonerated(List<RequestFingerprint> causes) {
     List<RequestFingerprint> innocent =
         state.quarantine().requests().stream()
-            .filter(request -> ledger.canJudge(request) && !causes.contains(request))
+            .filter(request -> ledger.hasSufficientEvidence(request) && !causes.contains(request))
             .toList();
     if (!innocent.isEmpty()) {
       release(innocent, "another request explains the ends");
@@ -120,11 +120,11 @@
     nextStepMs = nowMs + STEP_INTERVAL_MS;
     ledger.expire(nowMs);
     List<RequestFingerprint> held = state.quarantine().requests();
-    heldSinceMs.keySet().retainAll(held);
+    quarantinedSinceMs.keySet().retainAll(held);
     List<RequestFingerprint> over = new ArrayList<>();
     for (RequestFingerprint request : held) {
-      long sinceMs = heldSinceMs.computeIfAbsent(request, key -> nowMs);
-      if (nowMs - sinceMs > HOLD_MS) {
+      long sinceMs = quarantinedSinceMs.computeIfAbsent(request, key -> nowMs);
+      if (nowMs - sinceMs > QUARANTINE_DURATION_MS) {
         over.add(request);
       }
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/RouteTableCheck.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/RouteTableValidator.java
@@ -13,16 +13,16 @@
 import java.util.stream.Collectors;
 
 /** Checks a configuration before it is taken. */
-final class RouteTableCheck {
-  private RouteTableCheck() {}
+final class RouteTableValidator {
+  private RouteTableValidator() {}
 
   /** What is wrong with the configuration; empty when nothing is. */
-  static Optional<String> problem(RouteTable table) {
+  static Optional<String> findProblem(RouteTable table) {
     Set<String> services =
         table.services().stream().map(ServiceLimits::name).collect(Collectors.toSet());
     Set<String> places = new HashSet<>();
     for (RouteSpec route : table.routes()) {
-      Optional<String> problem = problem(route, services);
+      Optional<String> problem = findProblem(route, services);
       if (problem.isPresent()) {
         return problem.map(found -> "route " + route.name() + ": " + found);
       }
@@ -31,10 +31,10 @@
             "route " + route.name() + ": another route has the same host and prefix");
       }
     }
-    return tenantProblem(table);
+    return findTenantProblem(table);
   }
 
-  private static Optional<String> tenantProblem(RouteTable table) {
+  private static Optional<String> findTenantProblem(RouteTable table) {
     Map<String, String> owners = new HashMap<>();
     Set<String> names = new HashSet<>();
     for (CallerTenant tenant : table.tenants()) {
@@ -51,7 +51,7 @@
     return Optional.empty();
   }
 
-  private static Optional<String> problem(RouteSpec route, Set<String> services) {
+  private static Optional<String> findProblem(RouteSpec route, Set<String> services) {
     long weights = 0;
     for (RouteTarget target : route.targets()) {
       if (!services.contains(target.service())) {
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
@@ -49,8 +49,8 @@
     if (sender.role() != FleetRole.GATEWAY) {
       return List.of();
     }
-    ledger.note(sender.name(), sender.incarnation(), uses, nowMs);
-    return state.table().map(table -> ledger.contended(table.tenants())).orElse(List.of());
+    ledger.onHeartbeat(sender.name(), sender.incarnation(), uses, nowMs);
+    return state.routeTable().map(table -> ledger.contended(table.tenants())).orElse(List.of());
   }
 
   /**
@@ -65,7 +65,8 @@
     if (!allHeard) {
       return new Unavailable("not all gateways were heard yet", false);
     }
-    Optional<CallerTenant> tenant = state.table().flatMap(table -> table.tenant(request.tenant()));
+    Optional<CallerTenant> tenant =
+        state.routeTable().flatMap(table -> table.tenant(request.tenant()));
     boolean admitted =
         tenant.isPresent()
             && ledger.tryAdmit(request.gateway(), request.life(), tenant.get(), nowMs);
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
@@ -22,7 +22,7 @@
   private final Map<String, Entry<V>> entries = new HashMap<>();
   private final Map<String, Long> removals = new HashMap<>();
   private long sequence;
-  private long forgottenUpTo;
+  private long removalsDroppedUpTo;
 
   /** Adds or replaces an entry; returns whether that is a change. */
   boolean put(String key, V value) {
@@ -42,7 +42,7 @@
     }
     removals.put(key, ++sequence);
     if (removals.size() > MAX_REMOVALS) {
-      forgottenUpTo = sequence;
+      removalsDroppedUpTo = sequence;
       removals.clear();
     }
     return true;
@@ -65,12 +65,12 @@
     entries.clear();
     removals.clear();
     sequence = 0;
-    forgottenUpTo = 0;
+    removalsDroppedUpTo = 0;
   }
 
   /** What a reader lacks that knows the list up to {@code known}; all when it knows nothing. */
   Delta<V> since(long known, boolean knowsThisList) {
-    boolean full = !knowsThisList || known < forgottenUpTo || known > sequence;
+    boolean full = !knowsThisList || known < removalsDroppedUpTo || known > sequence;
     List<V> changed = new ArrayList<>();
     List<String> removed = new ArrayList<>();
     for (Entry<V> entry : entries.values()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -13,9 +13,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
-import io.pathdeck.fleet.adapter.EngineAnswer;
 import io.pathdeck.fleet.adapter.EngineCall;
 import io.pathdeck.fleet.adapter.EngineProtocol;
+import io.pathdeck.fleet.adapter.EngineResponse;
 import io.pathdeck.protocol.fleet.EngineInstance;
 import java.io.IOException;
 import java.util.HashSet;
@@ -34,18 +34,18 @@
  */
 final class EngineConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog EVENTS = EventLog.of(EngineConnection.class);
-  private static final String NOTHING = "";
+  private static final String NONE = "";
 
   /**
    * Bounds what a connection remembers, about 90 bytes an id and so 23 KB, at the price of one new
    * connection in 256 calls.
    */
-  private static final int MAX_REQUESTS = 256;
+  private static final int MAX_REQUESTS_PER_CONNECTION = 256;
 
   /** How much sooner than the engine this side gives an idle connection up. */
   private static final long IDLE_MARGIN_MS = 600;
 
-  private enum Reading {
+  private enum ReadState {
     HEAD,
     BODY,
     SKIPPED_BODY
@@ -54,17 +54,17 @@
   private final NettyEngineTransport owner;
   private final EngineProtocol protocol;
   private final EngineInstance engine;
-  private final Set<String> carriedRequests = new HashSet<>();
+  private final Set<String> sentRequestIds = new HashSet<>();
   private ChannelHandlerContext context;
-  private PendingCall current;
+  private PendingCall currentCall;
   private ChannelFuture requestWritten;
-  private Reading reading = Reading.HEAD;
+  private ReadState readState = ReadState.HEAD;
   private boolean keepAlive;
   private boolean usedBefore;
-  private boolean anythingRead;
-  private boolean droppedAnything;
+  private boolean responseStarted;
+  private boolean responseDropped;
   private boolean closing;
-  private int callsEnded;
+  private int completedCalls;
   private long idleSinceNs;
   private long engineIdleTimeoutMs;
 
@@ -88,18 +88,18 @@
   }
 
   /** Whether an answer to {@code requestId} could not be taken for one to an earlier send of it. */
-  boolean mayCarry(String requestId) {
-    return !carriedRequests.contains(requestId);
+  boolean canSend(String requestId) {
+    return !sentRequestIds.contains(requestId);
   }
 
   void send(PendingCall call) {
-    current = call;
-    if (call.call().isOfRequest()) {
-      carriedRequests.add(call.call().requestId());
+    currentCall = call;
+    if (call.call().hasRequestId()) {
+      sentRequestIds.add(call.call().requestId());
     }
-    call.sentOn(this);
-    reading = Reading.HEAD;
-    anythingRead = false;
+    call.onSent(this);
+    readState = ReadState.HEAD;
+    responseStarted = false;
     requestWritten = context.channel().writeAndFlush(protocol.write(call.call()));
   }
 
@@ -114,9 +114,9 @@
   }
 
   /** Keeps a connection that came up after its call was given up. */
-  void release() {
+  void keepUnused() {
     idleSinceNs = System.nanoTime();
-    owner.keep(this);
+    owner.addIdle(this);
   }
 
   void pauseReading() {
@@ -129,30 +129,30 @@
 
   void close() {
     closing = true;
-    current = null;
+    currentCall = null;
     context.close();
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
     if (message.decoderResult().isFailure()) {
-      breakOff("not an answer: " + message.decoderResult().cause());
+      abortCall("not an answer: " + message.decoderResult().cause());
       return;
     }
     if (closing) {
       return;
     }
-    if (current == null) {
+    if (currentCall == null) {
       logDropped(message, "no call is under way");
-      owner.discard(this);
+      owner.removeIdle(this);
       close();
       return;
     }
-    anythingRead = true;
+    responseStarted = true;
     if (message instanceof HttpResponse head) {
       readHead(head);
     }
-    if (message instanceof HttpContent content && current != null) {
+    if (message instanceof HttpContent content && currentCall != null) {
       readBody(content);
     }
   }
@@ -160,33 +160,33 @@
   private void readHead(HttpResponse head) {
     HttpResponseStatus status = head.status();
     if (status.codeClass() == HttpStatusClass.INFORMATIONAL) {
-      reading = Reading.SKIPPED_BODY;
+      readState = ReadState.SKIPPED_BODY;
       return;
     }
-    EngineAnswer answer = protocol.read(head);
+    EngineResponse answer = protocol.read(head);
     boolean success = status.codeClass() == HttpStatusClass.SUCCESS;
-    if (!answer.requestId().equals(current.call().requestId())) {
+    if (!answer.requestId().equals(currentCall.call().requestId())) {
       logDropped(head, "it names another request");
-      droppedAnything = true;
-      reading = Reading.SKIPPED_BODY;
-      if (!success && answer.requestId().equals(EngineCall.NO_REQUEST)) {
-        breakOff("a failure that names no request");
+      responseDropped = true;
+      readState = ReadState.SKIPPED_BODY;
+      if (!success && answer.requestId().equals(EngineCall.NO_REQUEST_ID)) {
+        abortCall("a failure that names no request");
       }
       return;
     }
-    if (success && current.call().isOfRequest() && !answer.signed()) {
-      breakOff("a success without a signature");
+    if (success && currentCall.call().hasRequestId() && !answer.signed()) {
+      abortCall("a success without a signature");
       return;
     }
-    reading = Reading.BODY;
-    keepAlive = HttpUtil.isKeepAlive(head) && !lacksLength(head);
+    readState = ReadState.BODY;
+    keepAlive = HttpUtil.isKeepAlive(head) && !endsWithConnection(head);
     engineIdleTimeoutMs = answer.idleTimeoutMs();
-    current.listener().onHead(answer);
+    currentCall.listener().onHead(answer);
   }
 
   private void logDropped(HttpObject message, String reason) {
-    String named = NOTHING;
-    String status = NOTHING;
+    String named = NONE;
+    String status = NONE;
     if (message instanceof HttpResponse head) {
       named = protocol.read(head).requestId();
       status = String.valueOf(head.status().code());
@@ -196,7 +196,7 @@
         "engine",
         engine.id(),
         "awaited",
-        current == null ? NOTHING : current.call().requestId(),
+        currentCall == null ? NONE : currentCall.call().requestId(),
         "named",
         named,
         "status",
@@ -204,57 +204,57 @@
         "reason",
         reason,
         "calls",
-        callsEnded);
+        completedCalls);
   }
 
-  private static boolean lacksLength(HttpResponse head) {
+  private static boolean endsWithConnection(HttpResponse head) {
     return !HttpUtil.isTransferEncodingChunked(head) && !HttpUtil.isContentLengthSet(head);
   }
 
   private void readBody(HttpContent content) {
-    if (reading == Reading.BODY && content.content().isReadable()) {
-      current.listener().onBody(ByteBufUtil.getBytes(content.content()));
+    if (readState == ReadState.BODY && content.content().isReadable()) {
+      currentCall.listener().onBody(ByteBufUtil.getBytes(content.content()));
     }
-    if (content instanceof LastHttpContent && current != null) {
-      if (reading == Reading.BODY) {
-        endCall();
+    if (content instanceof LastHttpContent && currentCall != null) {
+      if (readState == ReadState.BODY) {
+        completeCall();
       }
-      reading = Reading.HEAD;
+      readState = ReadState.HEAD;
     }
   }
 
-  private void endCall() {
-    PendingCall ended = current;
-    current = null;
-    callsEnded++;
+  private void completeCall() {
+    PendingCall ended = currentCall;
+    currentCall = null;
+    completedCalls++;
     resumeReading();
     if (isReusable()) {
       usedBefore = true;
       idleSinceNs = System.nanoTime();
-      owner.keep(this);
+      owner.addIdle(this);
     } else {
       close();
     }
-    ended.end();
+    ended.complete();
   }
 
   private boolean isReusable() {
-    boolean undisturbed = requestWritten.isDone() && !droppedAnything;
-    boolean hasRoom = carriedRequests.size() < MAX_REQUESTS;
+    boolean undisturbed = requestWritten.isDone() && !responseDropped;
+    boolean hasRoom = sentRequestIds.size() < MAX_REQUESTS_PER_CONNECTION;
     return keepAlive && undisturbed && hasRoom && context.channel().isActive();
   }
 
-  private void breakOff(String reason) {
+  private void abortCall(String reason) {
     fail(EngineFailure.BROKEN, reason);
   }
 
-  private void onLost(String reason) {
-    boolean silent = usedBefore && !anythingRead;
+  private void onConnectionLost(String reason) {
+    boolean silent = usedBefore && !responseStarted;
     fail(silent ? EngineFailure.CLOSED_BEFORE_ANSWER : EngineFailure.CONNECTION_ENDED, reason);
   }
 
   private void fail(EngineFailure failure, String reason) {
-    PendingCall broken = current;
+    PendingCall broken = currentCall;
     close();
     if (broken != null) {
       broken.fail(failure, reason);
@@ -263,8 +263,8 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (current != null) {
-      onLost("the connection ended");
+    if (currentCall != null) {
+      onConnectionLost("the connection ended");
     } else if (!closing && usedBefore) {
       long idleMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - idleSinceNs);
       owner.onIdleClosed(this, engine.service(), idleMs);
@@ -274,9 +274,9 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof IOException) {
-      onLost(String.valueOf(cause));
+      onConnectionLost(String.valueOf(cause));
     } else {
-      breakOff(String.valueOf(cause));
+      abortCall(String.valueOf(cause));
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineFailure.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineFailure.java
@@ -16,7 +16,7 @@
   BROKEN;
 
   /** Whether the request surely did not run. */
-  public boolean isNotRun() {
+  public boolean requestDidNotRun() {
     return this == NOT_SENT || this == CONNECTION_REFUSED || this == QUARANTINED;
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLiveness.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
@@ -1,9 +1,9 @@
 package io.pathdeck.fleet.engine;
 
 import io.netty.channel.EventLoop;
-import io.pathdeck.fleet.adapter.EngineAnswer;
 import io.pathdeck.fleet.adapter.EngineLoadReport;
 import io.pathdeck.fleet.adapter.EngineProtocol;
+import io.pathdeck.fleet.adapter.EngineResponse;
 import io.pathdeck.protocol.fleet.EngineInstance;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
  * engine answers there, or when it tells that its life began at another time. An engine that is
  * silent is not known to have ended.
  */
-public final class EngineLiveness {
+public final class EngineLivenessProbe {
   /** What was found out. */
   public enum Verdict {
     ENDED,
@@ -42,10 +42,10 @@
   private final EventLoop eventLoop;
   private final NettyEngineTransport transport;
   private final EngineProtocol protocol;
-  private final Map<String, List<Consumer<Verdict>>> underWay = new HashMap<>();
+  private final Map<String, List<Consumer<Verdict>>> pendingReceivers = new HashMap<>();
 
   /** Asks engines over {@code transport}. */
-  public EngineLiveness(
+  public EngineLivenessProbe(
       EventLoop eventLoop, NettyEngineTransport transport, EngineProtocol protocol) {
     this.eventLoop = eventLoop;
     this.transport = transport;
@@ -56,50 +56,50 @@
    * Tells {@code receiver} whether a life of an engine has ended; one question at a time a life.
    */
   public void check(EngineInstance engine, Consumer<Verdict> receiver) {
-    List<Consumer<Verdict>> waiting = underWay.get(engine.lifeId());
+    List<Consumer<Verdict>> waiting = pendingReceivers.get(engine.lifeId());
     if (waiting != null) {
       waiting.add(receiver);
       return;
     }
     waiting = new ArrayList<>();
     waiting.add(receiver);
-    underWay.put(engine.lifeId(), waiting);
+    pendingReceivers.put(engine.lifeId(), waiting);
     // Later, so that all connections that ended with the engine are known to have ended.
-    eventLoop.execute(() -> new Check(engine).ask());
+    eventLoop.execute(() -> new Probe(engine).ask());
   }
 
   /**
    * Whether an engine that has just refused a connection has ended. One that has too many
    * connections refuses more, too, but then some of them are open.
    */
-  public boolean isGone(EngineInstance engine) {
+  public boolean isDown(EngineInstance engine) {
     return transport.openConnections(engine) == 0;
   }
 
-  private void decide(EngineInstance engine, Verdict verdict) {
-    List<Consumer<Verdict>> waiting = underWay.remove(engine.lifeId());
+  private void notifyReceivers(EngineInstance engine, Verdict verdict) {
+    List<Consumer<Verdict>> waiting = pendingReceivers.remove(engine.lifeId());
     if (waiting != null) {
       waiting.forEach(receiver -> receiver.accept(verdict));
     }
   }
 
   /** One question to one engine, asked again while connections end under it. */
-  private final class Check implements EngineListener {
+  private final class Probe implements EngineListener {
     private final EngineInstance engine;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private EngineAnswer answer;
+    private EngineResponse answer;
     private EngineTransport.Handle handle;
     private int attempts;
     private boolean decided;
 
-    Check(EngineInstance engine) {
+    Probe(EngineInstance engine) {
       this.engine = engine;
     }
 
     void ask() {
       attempts++;
       body.reset();
-      handle = transport.start(EngineReports.call(protocol, engine), this);
+      handle = transport.start(EngineLoadClient.reportCall(protocol, engine), this);
       if (attempts == 1) {
         eventLoop.schedule(this::onTimeout, TIMEOUT_MS, TimeUnit.MILLISECONDS);
       }
@@ -115,12 +115,12 @@
     private void finish(Verdict verdict) {
       if (!decided) {
         decided = true;
-        decide(engine, verdict);
+        notifyReceivers(engine, verdict);
       }
     }
 
     @Override
-    public void onHead(EngineAnswer head) {
+    public void onHead(EngineResponse head) {
       answer = head;
     }
 
@@ -131,7 +131,7 @@
 
     @Override
     public void onEnd() {
-      if (answer.otherInstance()) {
+      if (answer.wrongInstance()) {
         finish(Verdict.ENDED);
       } else if (answer.status() == OK) {
         Optional<EngineLoadReport> report = protocol.readReport(body.toByteArray());
@@ -145,7 +145,7 @@
     @Override
     public void onFailure(EngineFailure failure, String reason) {
       if (failure == EngineFailure.CONNECTION_REFUSED) {
-        finish(isGone(engine) ? Verdict.ENDED : Verdict.ALIVE);
+        finish(isDown(engine) ? Verdict.ENDED : Verdict.ALIVE);
       } else if (failure.isLostConnection() && attempts < MAX_ATTEMPTS && !decided) {
         ask();
       } else {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineChoice.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
@@ -19,18 +19,18 @@
  * that they take at this engine: a slow one is taken when it is emptier, and before a fast one that
  * is full.
  */
-public final class EngineChoice {
+public final class EngineLoadBalancer {
   /** From this many shared tokens on a prompt has a home. */
-  private static final long HOME_TOKENS = 1_500;
+  private static final long MIN_AFFINITY_TOKENS = 1_500;
 
   /** How much load, as a share of an engine's slots, a way to another zone is worth. */
   private static final double OTHER_ZONE_PENALTY = 0.3;
 
   /** How many unread prompt tokens are worth an engine's whole load. */
-  private static final double TOKENS_PER_LOAD = 12_000;
+  private static final double TOKENS_PER_FULL_LOAD = 12_000;
 
   /** How long calls of late waited for their first bytes when that is worth a whole load. */
-  private static final double WAIT_MS_PER_LOAD = 600;
+  private static final double WAIT_MS_PER_FULL_LOAD = 600;
 
   private static final double JITTER = 0.02;
   private static final int DEFAULT_SLOTS = 8;
@@ -39,7 +39,7 @@
   private final SplittableRandom random;
 
   /** Chooses for a process in {@code zone}. */
-  public EngineChoice(String zone, long seed) {
+  public EngineLoadBalancer(String zone, long seed) {
     this.zone = zone;
     this.random = new SplittableRandom(seed);
   }
@@ -52,15 +52,15 @@
   /** Chooses among {@code candidates}, some engines of a service with this {@code pace}. */
   public Optional<Placement> choose(
       List<EngineState> candidates, ServicePace pace, Prompt prompt, long nowMs) {
-    Optional<EngineState> home = home(candidates, prompt);
+    Optional<EngineState> home = prefixOwner(candidates, prompt);
     Placement best = null;
     double bestCost = Double.MAX_VALUE;
     for (EngineState engine : candidates) {
       boolean cached = home.filter(engine::equals).isPresent();
       long tokensToRead = prompt.tokens() - (cached ? prompt.sharedPrefixTokens() : 0);
       double cost =
-          work(engine, tokensToRead, pace, nowMs)
-              + engine.recentWaitMs(nowMs) / WAIT_MS_PER_LOAD
+          workCost(engine, tokensToRead, pace, nowMs)
+              + engine.recentWaitMs(nowMs) / WAIT_MS_PER_FULL_LOAD
               + zonePenalty(engine)
               + random.nextDouble() * JITTER;
       if (cost < bestCost) {
@@ -77,10 +77,11 @@
    * be as good as a fast one whenever both look empty, which is often, because most of their
    * requests come from other processes.
    */
-  private static double work(EngineState engine, long tokensToRead, ServicePace pace, long nowMs) {
-    double unread = (engine.unreadPromptTokens() + tokensToRead) / TOKENS_PER_LOAD;
+  private static double workCost(
+      EngineState engine, long tokensToRead, ServicePace pace, long nowMs) {
+    double unread = (engine.pendingPrefillTokens() + tokensToRead) / TOKENS_PER_FULL_LOAD;
     double work = load(engine, nowMs) + unread;
-    return pace.isUneven() ? (work + 1.0 / slots(engine)) * pace.relativeNow(engine) : work;
+    return pace.isUneven() ? (work + 1.0 / slots(engine)) * pace.currentRelativePace(engine) : work;
   }
 
   private double zonePenalty(EngineState engine) {
@@ -97,8 +98,8 @@
     return told > 0 ? told : DEFAULT_SLOTS;
   }
 
-  private static Optional<EngineState> home(List<EngineState> candidates, Prompt prompt) {
-    if (prompt.sharedPrefixTokens() < HOME_TOKENS) {
+  private static Optional<EngineState> prefixOwner(List<EngineState> candidates, Prompt prompt) {
+    if (prompt.sharedPrefixTokens() < MIN_AFFINITY_TOKENS) {
       return Optional.empty();
     }
     EngineState best = null;
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineReports.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadClient.java
@@ -2,17 +2,17 @@
 
 import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
-import io.pathdeck.fleet.adapter.EngineAnswer;
 import io.pathdeck.fleet.adapter.EngineCall;
 import io.pathdeck.fleet.adapter.EngineLoadReport;
 import io.pathdeck.fleet.adapter.EngineProtocol;
+import io.pathdeck.fleet.adapter.EngineResponse;
 import io.pathdeck.fleet.adapter.EngineTenant;
 import io.pathdeck.protocol.fleet.EngineInstance;
 import java.io.ByteArrayOutputStream;
 import java.util.function.BiConsumer;
 
 /** Asks engines for their load; confined to the event loop. */
-public final class EngineReports {
+public final class EngineLoadClient {
   private static final int OK = 200;
   private static final long DEADLINE_MS = 500;
 
@@ -21,7 +21,7 @@
   private final BiConsumer<String, EngineLoadReport> listener;
 
   /** Tells {@code listener} each load that an engine reports, with the engine's id. */
-  public EngineReports(
+  public EngineLoadClient(
       EngineTransport transport,
       EngineProtocol protocol,
       BiConsumer<String, EngineLoadReport> listener) {
@@ -31,19 +31,19 @@
   }
 
   /** Asks one engine; nothing is told when it does not answer. */
-  public void ask(EngineInstance engine) {
-    transport.start(call(protocol, engine), new ReportListener(engine.id()));
+  public void fetch(EngineInstance engine) {
+    transport.start(reportCall(protocol, engine), new ReportListener(engine.id()));
   }
 
   /** The call that asks an engine for its load. */
-  static EngineCall call(EngineProtocol protocol, EngineInstance engine) {
+  static EngineCall reportCall(EngineProtocol protocol, EngineInstance engine) {
     return new EngineCall(
         engine,
         HttpMethod.GET,
         protocol.reportPath(),
         engine.address(),
-        EngineCall.NO_REQUEST,
-        new EngineTenant.AsSent(),
+        EngineCall.NO_REQUEST_ID,
+        new EngineTenant.PassThrough(),
         EmptyHttpHeaders.INSTANCE,
         new byte[0],
         DEADLINE_MS,
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void onHead(EngineAnswer answer) {
+    public void onHead(EngineResponse answer) {
       status = answer.status();
     }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
@@ -11,13 +11,13 @@
  */
 public final class EnginePace {
   /** Fewer events show more of the network than of the engine. */
-  private static final long FEWEST_EVENTS = 5;
+  private static final long MIN_EVENTS = 5;
 
   /** A stream counts as no slower or faster than this multiple of what is known. */
-  private static final double LARGEST_STEP = 2;
+  private static final double MAX_CHANGE_FACTOR = 2;
 
   /** So many streams are remembered: newer ones push older ones out. */
-  private static final int MOST_SAMPLES = 8;
+  private static final int MAX_SAMPLES = 8;
 
   /**
    * After this time what is known counts half, so that an engine that gets nothing because it was
@@ -26,51 +26,51 @@
   private static final double SAMPLES_HALF_LIFE_MS = 30_000;
 
   /** The told figure changes many times a second. */
-  private static final double TOLD_HALF_LIFE_MS = 100;
+  private static final double REPORT_HALF_LIFE_MS = 100;
 
-  private static final double LEAST_FACTOR = 0.5;
-  private static final double LARGEST_FACTOR = 2;
+  private static final double MIN_FACTOR = 0.5;
+  private static final double MAX_FACTOR = 2;
 
   private double msPerEvent;
   private int samples;
-  private long sampledAtMs;
-  private double toldUsually;
-  private int told;
-  private double toldLast;
-  private long toldAtMs;
+  private long lastSampleAtMs;
+  private double averageReported;
+  private int reportCount;
+  private double lastReported;
+  private long lastReportAtMs;
 
   /** A stream brought {@code events} events over {@code spanMs}. */
   public void onStream(long events, long spanMs, long nowMs) {
-    if (events < FEWEST_EVENTS || spanMs <= 0) {
+    if (events < MIN_EVENTS || spanMs <= 0) {
       return;
     }
     double sample = spanMs / (double) events;
     if (samples == 0) {
       msPerEvent = sample;
     } else {
-      double least = msPerEvent / LARGEST_STEP;
-      double clipped = Math.max(least, Math.min(msPerEvent * LARGEST_STEP, sample));
-      msPerEvent += (clipped - msPerEvent) / Math.min(samples + 1, MOST_SAMPLES);
+      double least = msPerEvent / MAX_CHANGE_FACTOR;
+      double clipped = Math.max(least, Math.min(msPerEvent * MAX_CHANGE_FACTOR, sample));
+      msPerEvent += (clipped - msPerEvent) / Math.min(samples + 1, MAX_SAMPLES);
     }
-    samples = Math.min(samples + 1, MOST_SAMPLES);
-    sampledAtMs = nowMs;
+    samples = Math.min(samples + 1, MAX_SAMPLES);
+    lastSampleAtMs = nowMs;
   }
 
   /** The engine told how long work takes at this moment. */
-  public void onTold(int paceInHundredths, long nowMs) {
-    told = Math.min(told + 1, MOST_SAMPLES);
-    toldUsually += (paceInHundredths - toldUsually) / told;
-    toldLast = paceInHundredths;
-    toldAtMs = nowMs;
+  public void onReported(int paceInHundredths, long nowMs) {
+    reportCount = Math.min(reportCount + 1, MAX_SAMPLES);
+    averageReported += (paceInHundredths - averageReported) / reportCount;
+    lastReported = paceInHundredths;
+    lastReportAtMs = nowMs;
   }
 
   /** Whether the engine tells its pace at all. */
-  boolean isTold() {
-    return told > 0;
+  boolean isReported() {
+    return reportCount > 0;
   }
 
   /** Whether a stream of the engine was seen. */
-  boolean isKnown() {
+  boolean hasSamples() {
     return samples > 0;
   }
 
@@ -81,15 +81,15 @@
 
   /** What is known, in streams; it fades with time. */
   double weight(long nowMs) {
-    return samples * Math.pow(0.5, (nowMs - sampledAtMs) / SAMPLES_HALF_LIFE_MS);
+    return samples * Math.pow(0.5, (nowMs - lastSampleAtMs) / SAMPLES_HALF_LIFE_MS);
   }
 
   /** How many times as long as usually there work takes at this moment; 1 when it is not known. */
-  double momentaryFactor(long nowMs) {
-    if (told == 0) {
+  double currentFactor(long nowMs) {
+    if (reportCount == 0) {
       return 1;
     }
-    double factor = Math.max(LEAST_FACTOR, Math.min(LARGEST_FACTOR, toldLast / toldUsually));
-    return 1 + (factor - 1) * Math.pow(0.5, (nowMs - toldAtMs) / TOLD_HALF_LIFE_MS);
+    double factor = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, lastReported / averageReported));
+    return 1 + (factor - 1) * Math.pow(0.5, (nowMs - lastReportAtMs) / REPORT_HALF_LIFE_MS);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
@@ -8,41 +8,41 @@
 /** What this process knows of one life of an engine; confined to one thread. */
 public final class EngineState {
   private static final long FIRST_EJECTION_MS = 500;
-  private static final long LONGEST_EJECTION_MS = 4_000;
+  private static final long MAX_EJECTION_MS = 4_000;
 
   /**
    * How long an engine that has ended gets nothing, not even when no other is left: the list shows
    * its end and its return some seconds late, and a request that meets some refused connections is
    * refused itself.
    */
-  private static final long ENDED_PAUSE_MS = 1_000;
+  private static final long DOWN_PAUSE_MS = 1_000;
 
   private static final double NEW_WAIT_WEIGHT = 0.4;
   private static final double WAIT_HALF_LIFE_MS = 400;
 
   private final long reportHalfLifeMs;
   private final EnginePace pace = new EnginePace();
-  private final long lifeHash;
+  private final long instanceHash;
   private EngineInstance instance;
   private int inFlight;
   private double recentWaitMs;
-  private long waitNotedAtMs;
-  private long unreadPromptTokens;
+  private long waitUpdatedAtMs;
+  private long pendingPrefillTokens;
   private int peerCalls;
-  private int othersAtReport;
+  private int otherCallsAtReport;
   private long reportedAtMs = Long.MIN_VALUE / 2;
   private int failures;
   private long ejectedUntilMs;
-  private long endedUntilMs = Long.MIN_VALUE;
+  private long downUntilMs = Long.MIN_VALUE;
   private boolean gone;
-  private long lastHeardMs;
+  private long lastReceivedMs;
   private long lastStartMs;
 
   EngineState(EngineInstance instance, long reportHalfLifeMs) {
     this.instance = instance;
     this.reportHalfLifeMs = reportHalfLifeMs;
     byte[] lifeId = instance.lifeId().getBytes(StandardCharsets.UTF_8);
-    this.lifeHash = LongHashFunction.xx3().hashBytes(lifeId);
+    this.instanceHash = LongHashFunction.xx3().hashBytes(lifeId);
   }
 
   void update(EngineInstance newer) {
@@ -55,8 +55,8 @@
   }
 
   /** Names this life of the engine in a few bytes, alike in all processes. */
-  public long lifeHash() {
-    return lifeHash;
+  public long instanceHash() {
+    return instanceHash;
   }
 
   /** The calls of this process that are under way. */
@@ -67,7 +67,7 @@
   /** A call was sent. */
   public void onStart(long nowMs) {
     if (inFlight == 0) {
-      lastHeardMs = Math.max(lastHeardMs, nowMs);
+      lastReceivedMs = Math.max(lastReceivedMs, nowMs);
     }
     inFlight++;
     lastStartMs = nowMs;
@@ -80,49 +80,49 @@
 
   /** A call with this prompt was sent and has brought nothing yet. */
   public void onPromptSent(long promptTokens) {
-    unreadPromptTokens += promptTokens;
+    pendingPrefillTokens += promptTokens;
   }
 
   /** A call with this prompt has brought its first bytes, or has ended without. */
-  public void onPromptRead(long promptTokens) {
-    unreadPromptTokens -= promptTokens;
+  public void onPrefillDone(long promptTokens) {
+    pendingPrefillTokens -= promptTokens;
   }
 
   /** The tokens of this process's prompts that the engine has probably not read yet. */
-  public long unreadPromptTokens() {
-    return unreadPromptTokens;
+  public long pendingPrefillTokens() {
+    return pendingPrefillTokens;
   }
 
   /** The engine has sent something. */
-  public void onHeard(long nowMs) {
-    lastHeardMs = nowMs;
+  public void onDataReceived(long nowMs) {
+    lastReceivedMs = nowMs;
     failures = 0;
   }
 
   /** For how long nothing was heard while calls are under way; 0 when none is. */
   public long silenceMs(long nowMs) {
-    return inFlight == 0 ? 0 : nowMs - lastHeardMs;
+    return inFlight == 0 ? 0 : nowMs - lastReceivedMs;
   }
 
   /** A call brought its first bytes after {@code waitMs} beyond the reading of its prompt. */
   public void onFirstBytes(long waitMs, long nowMs) {
     double recent = recentWaitMs(nowMs);
     recentWaitMs = recent + (waitMs - recent) * NEW_WAIT_WEIGHT;
-    waitNotedAtMs = nowMs;
+    waitUpdatedAtMs = nowMs;
   }
 
   /** How long calls of late waited for their first bytes; it fades with time. */
   public double recentWaitMs(long nowMs) {
-    return recentWaitMs * Math.pow(0.5, (nowMs - waitNotedAtMs) / WAIT_HALF_LIFE_MS);
+    return recentWaitMs * Math.pow(0.5, (nowMs - waitUpdatedAtMs) / WAIT_HALF_LIFE_MS);
   }
 
   /** The engine told its load. */
-  public void onLoad(EngineLoadReport report, long nowMs) {
+  public void onLoadReport(EngineLoadReport report, long nowMs) {
     int known = inFlight + peerCalls;
-    othersAtReport = Math.max(0, report.running() + report.waiting() - known);
+    otherCallsAtReport = Math.max(0, report.running() + report.waiting() - known);
     reportedAtMs = nowMs;
-    if (report.tellsPace()) {
-      pace.onTold(report.paceInHundredths(), nowMs);
+    if (report.hasPace()) {
+      pace.onReported(report.pacePercent(), nowMs);
     }
   }
 
@@ -142,15 +142,15 @@
   }
 
   /** Whether the engine says how long work takes there: it shares its machine with others. */
-  public boolean tellsPace() {
-    return pace.isTold();
+  public boolean reportsPace() {
+    return pace.isReported();
   }
 
   /** A call failed for a reason that speaks against the engine. */
   public void onFailure(long nowMs) {
     failures++;
     long shift = Math.min(failures - 1, 3);
-    ejectedUntilMs = nowMs + Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS << shift);
+    ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << shift);
   }
 
   /** The engine refused a call because it is full. */
@@ -164,18 +164,18 @@
   }
 
   /** This life of the engine has ended. */
-  public void onEnded(long nowMs) {
-    endedUntilMs = nowMs + ENDED_PAUSE_MS;
+  public void onDown(long nowMs) {
+    downUntilMs = nowMs + DOWN_PAUSE_MS;
   }
 
   /** Whether new calls may be sent. */
   public boolean isUsable(long nowMs) {
-    return !isAway(nowMs) && nowMs >= ejectedUntilMs;
+    return !isOutOfService(nowMs) && nowMs >= ejectedUntilMs;
   }
 
   /** Whether calls must not be sent, however few other engines there are. */
-  public boolean isAway(long nowMs) {
-    return gone || instance.draining() || nowMs < endedUntilMs;
+  public boolean isOutOfService(long nowMs) {
+    return gone || instance.draining() || nowMs < downUntilMs;
   }
 
   /**
@@ -185,7 +185,7 @@
   public double estimatedLoad(long nowMs) {
     double age = nowMs - reportedAtMs;
     double weight = Math.pow(0.5, age / reportHalfLifeMs);
-    return inFlight + peerCalls + othersAtReport * weight;
+    return inFlight + peerCalls + otherCallsAtReport * weight;
   }
 
   /** How old the engine's newest report of its load is; -1 when there is none. */
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
@@ -51,17 +51,17 @@
   }
 
   /** A life of an engine has ended. */
-  public void onEnded(EngineInstance engine, long nowMs) {
+  public void onDown(EngineInstance engine, long nowMs) {
     EngineState known = engines.get(engine.id());
     if (known != null && known.instance().lifeId().equals(engine.lifeId())) {
-      known.onEnded(nowMs);
+      known.onDown(nowMs);
     }
   }
 
   /** Whether an engine says how long work takes there. */
-  public boolean anyTellsPace() {
+  public boolean anyReportsPace() {
     for (EngineState engine : engines.values()) {
-      if (engine.tellsPace()) {
+      if (engine.reportsPace()) {
         return true;
       }
     }
@@ -103,12 +103,12 @@
   }
 
   /** The engines of a service that are not away, whether or not they failed of late. */
-  public List<EngineState> listed(String service, Set<String> excluded, long nowMs) {
+  public List<EngineState> inService(String service, Set<String> excluded, long nowMs) {
     List<EngineState> listed = new ArrayList<>();
     for (EngineState engine : engines.values()) {
       EngineInstance instance = engine.instance();
       boolean candidate = instance.service().equals(service) && !excluded.contains(instance.id());
-      if (candidate && !engine.isAway(nowMs)) {
+      if (candidate && !engine.isOutOfService(nowMs)) {
         listed.add(engine);
       }
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
@@ -10,7 +10,7 @@
 final class IdleTimeouts {
   private static final long DEFAULT_LIMIT_MS = 4_000;
   private static final long MIN_LIMIT_MS = 200;
-  private static final double SAFETY = 0.7;
+  private static final double SAFETY_FACTOR = 0.7;
 
   private final Map<String, Long> limits = new HashMap<>();
 
@@ -18,8 +18,8 @@
     return limits.getOrDefault(service, DEFAULT_LIMIT_MS);
   }
 
-  void observeClose(String service, long idleMs) {
-    long limit = Math.max(MIN_LIMIT_MS, (long) (idleMs * SAFETY));
+  void onIdleClosed(String service, long idleMs) {
+    long limit = Math.max(MIN_LIMIT_MS, (long) (idleMs * SAFETY_FACTOR));
     limits.merge(service, limit, Math::min);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
@@ -37,8 +37,8 @@
   private final EventLoop eventLoop;
   private final EngineProtocol protocol;
   private final Bootstrap bootstrap;
-  private final Map<String, Deque<EngineConnection>> idle = new HashMap<>();
-  private final Map<String, Integer> open = new HashMap<>();
+  private final Map<String, Deque<EngineConnection>> idleConnections = new HashMap<>();
+  private final Map<String, Integer> openConnectionCounts = new HashMap<>();
   private final IdleTimeouts idleTimeouts = new IdleTimeouts();
   private long connectionsOpened;
 
@@ -75,14 +75,15 @@
 
   /** The newest kept connection that may carry {@code call}, or null. */
   private EngineConnection takeIdle(EngineCall call) {
-    Deque<EngineConnection> connections = idle.getOrDefault(call.engine().lifeId(), NO_CONNECTIONS);
+    Deque<EngineConnection> connections =
+        idleConnections.getOrDefault(call.engine().lifeId(), NO_CONNECTIONS);
     long nowNs = System.nanoTime();
     long limitMs = idleTimeouts.limitMs(call.engine().service());
     Iterator<EngineConnection> newestFirst = connections.iterator();
     while (newestFirst.hasNext()) {
       EngineConnection connection = newestFirst.next();
       boolean usable = connection.isUsable(nowNs, limitMs);
-      if (usable && !connection.mayCarry(call.requestId())) {
+      if (usable && !connection.canSend(call.requestId())) {
         continue;
       }
       newestFirst.remove();
@@ -122,10 +123,10 @@
       pending.fail(failureOf(future.cause()), String.valueOf(future.cause().getMessage()));
       return;
     }
-    open.merge(connection.lifeId(), 1, Integer::sum);
-    future.channel().closeFuture().addListener(closed -> onClosed(connection.lifeId()));
-    if (pending.isOver()) {
-      connection.release();
+    openConnectionCounts.merge(connection.lifeId(), 1, Integer::sum);
+    future.channel().closeFuture().addListener(closed -> onConnectionClosed(connection.lifeId()));
+    if (pending.isDone()) {
+      connection.keepUnused();
     } else {
       connection.send(pending);
     }
@@ -137,23 +138,25 @@
     return refused ? EngineFailure.CONNECTION_REFUSED : EngineFailure.NOT_SENT;
   }
 
-  private void onClosed(String lifeId) {
-    open.computeIfPresent(lifeId, (life, count) -> count > 1 ? count - 1 : null);
+  private void onConnectionClosed(String lifeId) {
+    openConnectionCounts.computeIfPresent(lifeId, (life, count) -> count > 1 ? count - 1 : null);
   }
 
   /** How many connections to a life of an engine are open, idle ones included. */
   int openConnections(EngineInstance engine) {
-    return open.getOrDefault(engine.lifeId(), 0);
+    return openConnectionCounts.getOrDefault(engine.lifeId(), 0);
   }
 
   /** Keeps a connection whose last answer was whole. */
-  void keep(EngineConnection connection) {
-    idle.computeIfAbsent(connection.lifeId(), key -> new ArrayDeque<>()).addFirst(connection);
+  void addIdle(EngineConnection connection) {
+    idleConnections
+        .computeIfAbsent(connection.lifeId(), key -> new ArrayDeque<>())
+        .addFirst(connection);
   }
 
   /** Forgets a kept connection that this side closes. */
-  void discard(EngineConnection connection) {
-    Deque<EngineConnection> connections = idle.get(connection.lifeId());
+  void removeIdle(EngineConnection connection) {
+    Deque<EngineConnection> connections = idleConnections.get(connection.lifeId());
     if (connections != null) {
       connections.remove(connection);
     }
@@ -161,18 +164,18 @@
 
   /** A kept connection was closed by the engine after {@code idleMs} without use. */
   void onIdleClosed(EngineConnection connection, String service, long idleMs) {
-    Deque<EngineConnection> connections = idle.get(connection.lifeId());
+    Deque<EngineConnection> connections = idleConnections.get(connection.lifeId());
     if (connections != null && connections.remove(connection)) {
-      idleTimeouts.observeClose(service, idleMs);
+      idleTimeouts.onIdleClosed(service, idleMs);
       if (connections.isEmpty()) {
-        idle.remove(connection.lifeId());
+        idleConnections.remove(connection.lifeId());
       }
     }
   }
 
   private void closeExpired() {
     long nowNs = System.nanoTime();
-    for (Deque<EngineConnection> connections : idle.values()) {
+    for (Deque<EngineConnection> connections : idleConnections.values()) {
       connections.removeIf(
           connection -> {
             boolean expired =
@@ -183,6 +186,6 @@
             return expired;
           });
     }
-    idle.values().removeIf(Deque::isEmpty);
+    idleConnections.values().removeIf(Deque::isEmpty);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/PendingCall.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/PendingCall.java
@@ -7,7 +7,7 @@
   private final EngineCall call;
   private final EngineListener listener;
   private EngineConnection connection;
-  private boolean over;
+  private boolean done;
 
   PendingCall(EngineCall call, EngineListener listener) {
     this.call = call;
@@ -22,46 +22,46 @@
     return listener;
   }
 
-  boolean isOver() {
-    return over;
+  boolean isDone() {
+    return done;
   }
 
-  void sentOn(EngineConnection carrier) {
+  void onSent(EngineConnection carrier) {
     connection = carrier;
   }
 
-  void end() {
-    if (!over) {
-      over = true;
+  void complete() {
+    if (!done) {
+      done = true;
       listener.onEnd();
     }
   }
 
   void fail(EngineFailure failure, String reason) {
-    if (!over) {
-      over = true;
+    if (!done) {
+      done = true;
       listener.onFailure(failure, reason);
     }
   }
 
   @Override
   public void pauseReading() {
-    if (!over && connection != null) {
+    if (!done && connection != null) {
       connection.pauseReading();
     }
   }
 
   @Override
   public void resumeReading() {
-    if (!over && connection != null) {
+    if (!done && connection != null) {
       connection.resumeReading();
     }
   }
 
   @Override
   public void cancel() {
-    if (!over) {
-      over = true;
+    if (!done) {
+      done = true;
       if (connection != null) {
         connection.close();
       }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/Placement.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/Placement.java
@@ -3,6 +3,6 @@
 /**
  * Where a request goes.
  *
- * @param tokensToRead how many tokens of its prompt the engine probably has to read
+ * @param prefillTokens how many tokens of its prompt the engine probably has to read
  */
-public record Placement(EngineState engine, long tokensToRead) {}
+public record Placement(EngineState engine, long prefillTokens) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/Prompt.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/Prompt.java
@@ -1,6 +1,6 @@
 package io.pathdeck.fleet.engine;
 
-import io.pathdeck.fleet.adapter.CallerCall.PromptPart;
+import io.pathdeck.fleet.adapter.CallerRequest.PromptPart;
 import java.util.List;
 
 /**
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EventScanner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
@@ -10,21 +10,21 @@
  * <p>Ids must follow each other without a gap or repeat. The bytes of whole events are handed on
  * unchanged; a part of an event is held until the rest arrives.
  */
-public final class EventScanner {
+public final class SseEventScanner {
   private static final int MAX_EVENT_LENGTH = 1 << 20;
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.UTF_8);
   private static final byte[] DATA_FIELD = "data:".getBytes(StandardCharsets.UTF_8);
 
-  private byte[] held = new byte[512];
-  private int length;
+  private byte[] buffer = new byte[512];
+  private int bufferedBytes;
   private long lastId;
-  private boolean anyId;
+  private boolean hasLastId;
   private String problem;
 
   /** Starts after event {@code resumeAfter}; -1 when the first id is not known. */
-  public EventScanner(long resumeAfter) {
+  public SseEventScanner(long resumeAfter) {
     this.lastId = resumeAfter;
-    this.anyId = resumeAfter >= 0;
+    this.hasLastId = resumeAfter >= 0;
   }
 
   /** Takes bytes and returns the whole events that they complete. */
@@ -32,11 +32,11 @@
     append(bytes);
     int start = 0;
     int lineStart = 0;
-    for (int i = 0; i < length && problem == null; i++) {
-      if (held[i] != '\n') {
+    for (int i = 0; i < bufferedBytes && problem == null; i++) {
+      if (buffer[i] != '\n') {
         continue;
       }
-      boolean blank = i == lineStart || (i == lineStart + 1 && held[lineStart] == '\r');
+      boolean blank = i == lineStart || (i == lineStart + 1 && buffer[lineStart] == '\r');
       if (blank) {
         checkEvent(start, i + 1);
         if (problem == null) {
@@ -45,29 +45,29 @@
       }
       lineStart = i + 1;
     }
-    byte[] whole = Arrays.copyOf(held, start);
-    System.arraycopy(held, start, held, 0, length - start);
-    length -= start;
-    if (length > MAX_EVENT_LENGTH) {
+    byte[] whole = Arrays.copyOf(buffer, start);
+    System.arraycopy(buffer, start, buffer, 0, bufferedBytes - start);
+    bufferedBytes -= start;
+    if (bufferedBytes > MAX_EVENT_LENGTH) {
       problem = "an event is too long";
     }
     return whole;
   }
 
   private void append(byte[] bytes) {
-    if (length + bytes.length > held.length) {
-      held = Arrays.copyOf(held, Math.max(held.length * 2, length + bytes.length));
+    if (bufferedBytes + bytes.length > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, bufferedBytes + bytes.length));
     }
-    System.arraycopy(bytes, 0, held, length, bytes.length);
-    length += bytes.length;
+    System.arraycopy(bytes, 0, buffer, bufferedBytes, bytes.length);
+    bufferedBytes += bytes.length;
   }
 
   private void checkEvent(int from, int to) {
     int lineStart = from;
     for (int i = from; i < to; i++) {
-      if (held[i] == '\n') {
+      if (buffer[i] == '\n') {
         if (startsWith(ID_FIELD, lineStart, i)) {
-          checkId(field(lineStart + ID_FIELD.length, i));
+          checkId(textOf(lineStart + ID_FIELD.length, i));
         }
         lineStart = i + 1;
       }
@@ -82,26 +82,26 @@
       problem = "an event id that is no number";
       return;
     }
-    if (anyId && id != lastId + 1) {
+    if (hasLastId && id != lastId + 1) {
       problem = "event " + id + " after event " + lastId;
       return;
     }
-    anyId = true;
+    hasLastId = true;
     lastId = id;
   }
 
   private boolean startsWith(byte[] prefix, int from, int to) {
     return to - from >= prefix.length
-        && Arrays.equals(held, from, from + prefix.length, prefix, 0, prefix.length);
+        && Arrays.equals(buffer, from, from + prefix.length, prefix, 0, prefix.length);
   }
 
-  private String field(int from, int to) {
-    return new String(held, from, to - from, StandardCharsets.UTF_8).trim();
+  private String textOf(int from, int to) {
+    return new String(buffer, from, to - from, StandardCharsets.UTF_8).trim();
   }
 
   /** The id of the last whole event; -1 before the first one. */
   public long lastId() {
-    return anyId ? lastId : -1;
+    return hasLastId ? lastId : -1;
   }
 
   /** Why the stream cannot be trusted any more, or null. */
@@ -110,8 +110,8 @@
   }
 
   /** Whether a part of an event is held. */
-  public boolean isInsideEvent() {
-    return length > 0;
+  public boolean hasPartialEvent() {
+    return bufferedBytes > 0;
   }
 
   /** The values of the data fields in {@code events}, one line each, as text. */
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EventTimes.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
@@ -5,7 +5,7 @@
  * first event is left out, because it is spent waiting and reading the prompt. Confined to one
  * thread.
  */
-public final class EventTimes {
+public final class StreamTiming {
   private long firstEvent = -1;
   private long firstMs;
   private long lastEvent = -1;
@@ -22,11 +22,11 @@
   }
 
   /** The events that came after the first ones. */
-  public long events() {
+  public long eventsAfterFirst() {
     return lastEvent - firstEvent;
   }
 
-  /** The time over which {@link #events} came. */
+  /** The time over which {@link #eventsAfterFirst} came. */
   public long spanMs() {
     return lastMs - firstMs;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptBudget.java
@@ -32,7 +32,7 @@
   }
 
   /** Whether the request may be sent again after the newest send has ended. */
-  boolean mayTryAgain() {
+  boolean mayRetry() {
     if (sends >= maxSends || possibleRuns >= maxRuns) {
       return false;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/EngineUse.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
@@ -2,26 +2,26 @@
 
 import io.pathdeck.fleet.adapter.EngineLoadReport;
 import io.pathdeck.fleet.engine.EngineState;
-import io.pathdeck.fleet.engine.EventTimes;
 import io.pathdeck.fleet.engine.Placement;
+import io.pathdeck.fleet.engine.StreamTiming;
 
 /** What one send of a request teaches about its engine; confined to the event loop. */
-final class EngineUse {
-  private static final long NOTHING_YET = -1;
+final class AttemptTracker {
+  private static final long NOT_RECEIVED = -1;
 
   private final EngineState engine;
   private final long tokensToRead;
-  private final double believedLoad;
+  private final double estimatedLoad;
   private final long loadAgeMs;
   private final long sentMs;
-  private final EventTimes eventTimes = new EventTimes();
+  private final StreamTiming eventTimes = new StreamTiming();
   private boolean promptRead;
-  private long firstBytesMs = NOTHING_YET;
+  private long firstBytesMs = NOT_RECEIVED;
 
-  EngineUse(Placement placement, long nowMs) {
+  AttemptTracker(Placement placement, long nowMs) {
     this.engine = placement.engine();
-    this.tokensToRead = placement.tokensToRead();
-    this.believedLoad = engine.estimatedLoad(nowMs);
+    this.tokensToRead = placement.prefillTokens();
+    this.estimatedLoad = engine.estimatedLoad(nowMs);
     this.loadAgeMs = engine.loadAgeMs(nowMs);
     this.sentMs = nowMs;
   }
@@ -31,8 +31,8 @@
   }
 
   /** The load at the choice, as it was believed. */
-  double believedLoad() {
-    return believedLoad;
+  double estimatedLoad() {
+    return estimatedLoad;
   }
 
   /** How old that belief was. */
@@ -41,8 +41,8 @@
   }
 
   /** Whether the engine was believed to have a free place at the choice. */
-  boolean foundRoom() {
-    return believedLoad < engine.instance().slots();
+  boolean hadFreeSlot() {
+    return estimatedLoad < engine.instance().slots();
   }
 
   void begin() {
@@ -50,9 +50,9 @@
     engine.onPromptSent(tokensToRead);
   }
 
-  void onHeard(long nowMs) {
+  void onDataReceived(long nowMs) {
     notePromptRead();
-    engine.onHeard(nowMs);
+    engine.onDataReceived(nowMs);
   }
 
   /** The answer began; returns how long the request waited beyond the reading of its prompt. */
@@ -62,23 +62,23 @@
     long waitMs = Math.max(0, nowMs - sentMs - readingMs);
     engine.onFirstBytes(waitMs, nowMs);
     if (load != null) {
-      engine.onLoad(load, nowMs);
+      engine.onLoadReport(load, nowMs);
     }
     return waitMs;
   }
 
   /** How long the first bytes took after the send. */
-  long firstAfterMs() {
+  long timeToFirstByteMs() {
     return firstBytesMs - sentMs;
   }
 
   /** Whether the answer began. */
-  boolean hasBegun() {
-    return firstBytesMs != NOTHING_YET;
+  boolean hasResponse() {
+    return firstBytesMs != NOT_RECEIVED;
   }
 
   /** For how long the answer has been coming. */
-  long answeringMs(long nowMs) {
+  long respondingMs(long nowMs) {
     return nowMs - firstBytesMs;
   }
 
@@ -88,8 +88,8 @@
   }
 
   /** A stream has ended well: its events show the engine's pace. */
-  void onWholeStream(long nowMs) {
-    engine.pace().onStream(eventTimes.events(), eventTimes.spanMs(), nowMs);
+  void onStreamCompleted(long nowMs) {
+    engine.pace().onStream(eventTimes.eventsAfterFirst(), eventTimes.spanMs(), nowMs);
   }
 
   void end() {
@@ -100,7 +100,7 @@
   private void notePromptRead() {
     if (!promptRead) {
       promptRead = true;
-      engine.onPromptRead(tokensToRead);
+      engine.onPrefillDone(tokensToRead);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
@@ -3,9 +3,9 @@
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
 import io.pathdeck.common.result.Result;
-import io.pathdeck.fleet.adapter.CallerCall;
 import io.pathdeck.fleet.adapter.CallerProtocol;
-import io.pathdeck.fleet.gateway.JobsGroups.JobsGroup;
+import io.pathdeck.fleet.adapter.CallerRequest;
+import io.pathdeck.fleet.gateway.JobsGroupLocator.JobsGroup;
 import io.pathdeck.fleet.member.GroupCallError;
 import io.pathdeck.protocol.command.BatchAccepted;
 import io.pathdeck.protocol.command.BatchCommand;
@@ -54,24 +54,24 @@
   private static final int MAX_ITEMS = 200;
   private static final String JSON = "application/json";
 
-  private final JobsGroups jobs;
+  private final JobsGroupLocator groups;
   private final CallerProtocol protocol;
 
-  BatchCalls(JobsGroups jobs, CallerProtocol protocol) {
-    this.jobs = jobs;
+  BatchCalls(JobsGroupLocator jobs, CallerProtocol protocol) {
+    this.groups = jobs;
     this.protocol = protocol;
   }
 
-  void submit(HttpExchange exchange, CallerCall.Request request, RouteSpec route, String tenant) {
+  void submit(HttpExchange exchange, CallerRequest.Routed request, RouteSpec route, String tenant) {
     Result<List<BatchItem>, String> items = protocol.readItems(exchange.body());
     if (!items.isOk() || items.value().isEmpty() || items.value().size() > MAX_ITEMS) {
       String reason = items.isOk() ? "a job has 1 to " + MAX_ITEMS + " items" : items.error();
       exchange.sendError(ApiError.invalid("invalid_job", reason));
       return;
     }
-    Optional<JobsGroup> group = jobs.of(request.requestId());
+    Optional<JobsGroup> group = groups.groupOf(request.requestId());
     if (group.isEmpty()) {
-      refuseWithoutGroup(exchange);
+      refuseUnknownGroups(exchange);
       return;
     }
     SubmitBatch command =
@@ -119,7 +119,7 @@
   }
 
   private void onSubmitFailed(
-      HttpExchange exchange, CallerCall.Request request, GroupCallError error) {
+      HttpExchange exchange, CallerRequest.Routed request, GroupCallError error) {
     EVENTS.log(
         EventCode.REQUEST_FAILED,
         "request",
@@ -135,10 +135,10 @@
     }
   }
 
-  void end(HttpExchange exchange, CallerCall.EndJob call, String tenant) {
-    Optional<JobsGroup> group = jobs.of(call.jobId());
+  void end(HttpExchange exchange, CallerRequest.EndJob call, String tenant) {
+    Optional<JobsGroup> group = groups.groupOf(call.jobId());
     if (group.isEmpty()) {
-      refuseWithoutGroup(exchange);
+      refuseUnknownGroups(exchange);
       return;
     }
     long startNs = System.nanoTime();
@@ -159,7 +159,7 @@
         });
   }
 
-  void readResults(HttpExchange exchange, CallerCall.ReadResults call, String tenant) {
+  void readResults(HttpExchange exchange, CallerRequest.ReadResults call, String tenant) {
     long waitMs = Math.max(0, Math.min(MAX_WAIT_MS, call.waitMs()));
     query(
         exchange,
@@ -170,12 +170,12 @@
           if (result.isOk() && result.value() instanceof BatchResults results) {
             exchange.sendJson(200, protocol.writeResults(results));
           } else {
-            sendMissingOrUnsure(exchange, result);
+            sendNotFoundOrUnavailable(exchange, result);
           }
         });
   }
 
-  void readItem(HttpExchange exchange, CallerCall.ReadItem call, String tenant) {
+  void readItem(HttpExchange exchange, CallerRequest.ReadItem call, String tenant) {
     query(
         exchange,
         call.jobId(),
@@ -185,12 +185,12 @@
           if (result.isOk() && result.value() instanceof BatchItemBody item) {
             exchange.send(200, "application/octet-stream", item.body());
           } else {
-            sendMissingOrUnsure(exchange, result);
+            sendNotFoundOrUnavailable(exchange, result);
           }
         });
   }
 
-  private static void sendMissingOrUnsure(
+  private static void sendNotFoundOrUnavailable(
       HttpExchange exchange, Result<QueryResult, GroupCallError> result) {
     if (result.isOk() && result.value() instanceof BatchMissing) {
       exchange.sendError(ApiError.notFound("not_found", "there is no such job or item"));
@@ -199,7 +199,7 @@
     }
   }
 
-  private static void refuseWithoutGroup(HttpExchange exchange) {
+  private static void refuseUnknownGroups(HttpExchange exchange) {
     Refusals.unavailable(exchange, "the groups of batch jobs are not known yet", RETRY_AFTER_MS);
   }
 
@@ -220,9 +220,9 @@
       Query query,
       long waitMs,
       Consumer<Result<QueryResult, GroupCallError>> answer) {
-    Optional<JobsGroup> group = jobs.of(jobId);
+    Optional<JobsGroup> group = groups.groupOf(jobId);
     if (group.isEmpty()) {
-      refuseWithoutGroup(exchange);
+      refuseUnknownGroups(exchange);
       return;
     }
     Message message = new QueryRequest(group.get().group(), query);
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/CollectedAnswer.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/BufferedResponse.java
@@ -4,11 +4,11 @@
 import java.io.ByteArrayOutputStream;
 
 /** The body of an answer that is passed on whole; what it holds is counted. */
-final class CollectedAnswer {
+final class BufferedResponse {
   private final HeldMemory memory;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-  CollectedAnswer(HeldMemory memory) {
+  BufferedResponse(HeldMemory memory) {
     this.memory = memory;
   }
 
@@ -22,7 +22,7 @@
   }
 
   /** The answer will not be passed on. */
-  void drop() {
+  void discard() {
     memory.releaseAnswer(bytes.size());
     bytes.reset();
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerKeys.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerKeys.java
@@ -21,7 +21,7 @@
   }
 
   /** Whether a call without a key can be refused. */
-  boolean areRequired() {
+  boolean isRequired() {
     return required;
   }
 
@@ -41,12 +41,14 @@
    */
   CallerIdentity identify(String key, boolean anonymousAllowed) {
     if (!required) {
-      return new CallerIdentity.NotAsked();
+      return new CallerIdentity.AuthenticationDisabled();
     }
     CallerTenant tenant = key.isEmpty() ? null : tenants.get(KeyDigest.of(salt, key));
     if (tenant != null) {
-      return new CallerIdentity.Known(tenant);
+      return new CallerIdentity.Authenticated(tenant);
     }
-    return anonymousAllowed ? new CallerIdentity.Anonymous() : new CallerIdentity.Unknown();
+    return anonymousAllowed
+        ? new CallerIdentity.Anonymous()
+        : new CallerIdentity.MissingOrUnknownKey();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Dispatchable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Dispatchable.java
@@ -17,7 +17,7 @@
    * @param work how much of an engine it needs, compared with other requests
    * @param mayBeRejected whether it surely has not run and nothing of an answer was sent
    */
-  record Needs(
+  record DispatchAttributes(
       String service,
       String tenant,
       Rank rank,
@@ -28,10 +28,10 @@
       boolean mayBeRejected) {}
 
   /** What it needs now; it changes between sends. */
-  Needs needs();
+  DispatchAttributes attributes();
 
   /** The engines that had the request already. */
-  Set<String> tried();
+  Set<String> triedEngineIds();
 
   /** Sends it to the best of the engines; there may be none. */
   void sendTo(List<EngineState> candidates);
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
@@ -1,7 +1,7 @@
 package io.pathdeck.fleet.gateway;
 
 import io.netty.channel.EventLoop;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.engine.EngineTransport;
 import java.util.Set;
@@ -9,16 +9,17 @@
 /**
  * What the forwarders of a gateway share.
  *
- * @param callStarted hears that a request was given to an engine, be it for the first time or again
+ * @param callStartListener hears that a request was given to an engine, be it for the first time or
+ *     again
  */
 record ForwardingContext(
     EventLoop eventLoop,
     EngineTransport transport,
     EngineTable engines,
-    EngineChoice choice,
+    EngineLoadBalancer choice,
     ForwardingSettings settings,
-    SilenceLimit silenceLimit,
+    SilenceTimeout silenceTimeout,
     RequestMetrics metrics,
     RequestDispatcher dispatcher,
-    Runnable callStarted,
-    Set<RequestForwarder> active) {}
+    Runnable callStartListener,
+    Set<RequestForwarder> activeRequests) {}
