--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -3,16 +3,16 @@
 import io.netty.channel.EventLoop;
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
-import io.pathdeck.fleet.adapter.CallerCall;
 import io.pathdeck.fleet.adapter.CallerProtocol;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.adapter.CallerRequest;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.engine.EngineTransport;
 import io.pathdeck.fleet.engine.TrafficSplit;
 import io.pathdeck.fleet.member.FleetView;
 import io.pathdeck.fleet.member.StartProgress;
-import io.pathdeck.fleet.queue.QueueSwitch;
+import io.pathdeck.fleet.queue.QueueActivation;
 import io.pathdeck.protocol.fleet.EngineInstance;
 import io.pathdeck.protocol.fleet.RouteKind;
 import io.pathdeck.protocol.fleet.RouteSpec;
@@ -50,13 +50,13 @@
   private final BooleanSupplier routesConfirmed;
   private final BatchCalls batch;
   private final TenantLimiter limiter;
-  private final ForwardingContext shared;
-  private final TrafficSplit split = new TrafficSplit();
+  private final ForwardingContext context;
+  private final TrafficSplit trafficSplit = new TrafficSplit();
   private CallerKeys keys = CallerKeys.NONE;
   private long keysVersion = RouteTable.NO_VERSION;
   private boolean callersCompete;
-  private Runnable regularCheck = () -> {};
-  private Runnable callStarted = () -> {};
+  private Runnable periodicCheck = () -> {};
+  private Runnable callStartListener = () -> {};
 
   /**
    * Creates a gateway.
@@ -76,7 +76,7 @@
       BatchCalls batch,
       TenantLimiter limiter,
       EngineTransport transport,
-      EngineChoice choice,
+      EngineLoadBalancer choice,
       RequestMetrics metrics) {
     this.protocol = protocol;
     this.view = view;
@@ -86,17 +86,17 @@
     this.batch = batch;
     this.limiter = limiter;
     EngineTable engines = new EngineTable(REPORT_HALF_LIFE_MS);
-    this.shared =
+    this.context =
         new ForwardingContext(
             eventLoop,
             transport,
             engines,
             choice,
             ForwardingSettings.DEFAULT,
-            new SilenceLimit(ForwardingSettings.DEFAULT),
+            new SilenceTimeout(ForwardingSettings.DEFAULT),
             metrics,
             dispatcher(eventLoop, engines, metrics.queue()),
-            () -> callStarted.run(),
+            () -> callStartListener.run(),
             new HashSet<>());
     eventLoop.scheduleWithFixedDelay(
         this::checkSilence,
@@ -109,7 +109,7 @@
       EventLoop eventLoop, EngineTable engines, QueueMetrics queueMetrics) {
     return new RequestDispatcher(
         engines,
-        new RequestDispatcher.Switch(() -> callersCompete, EngineState::tellsPace),
+        new RequestDispatcher.QueueingRule(() -> callersCompete, EngineState::reportsPace),
         (delayMs, action) -> eventLoop.schedule(action, delayMs, TimeUnit.MILLISECONDS),
         () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()),
         queueMetrics);
@@ -117,68 +117,68 @@
 
   /** The engines and what this gateway knows of them; to be used on the event loop only. */
   EngineTable engines() {
-    return shared.engines();
+    return context.engines();
   }
 
   /** Calls {@code check} on the event loop with each check of engines for silence. */
-  void onRegularCheck(Runnable check) {
-    regularCheck = check;
+  void onPeriodicCheck(Runnable check) {
+    periodicCheck = check;
   }
 
   /** Calls {@code heard} on the event loop when a request was given to an engine. */
   void onCallStarted(Runnable heard) {
-    callStarted = heard;
+    callStartListener = heard;
   }
 
   /** Follows what is known of the fleet. */
   void onChange(FleetView changed) {
     if (changed.engines() != null) {
-      shared.engines().update(changed.engines());
+      context.engines().update(changed.engines());
     }
     if (changed.routes() != null && changed.routes().version() != keysVersion) {
       keysVersion = changed.routes().version();
       keys = CallerKeys.of(changed.routes());
-      callersCompete = QueueSwitch.callersCompete(changed.routes());
+      callersCompete = QueueActivation.hasTenantPolicies(changed.routes());
     }
   }
 
   /** An engine has ended: it gets nothing until it can be back. */
   void onEngineEnded(EngineInstance engine) {
-    shared.engines().onEnded(engine, TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
+    context.engines().onDown(engine, TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
   }
 
   private void checkSilence() {
-    regularCheck.run();
+    periodicCheck.run();
     long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-    for (RequestForwarder forwarder : new ArrayList<>(shared.active())) {
+    for (RequestForwarder forwarder : new ArrayList<>(context.activeRequests())) {
       forwarder.checkSilence(nowMs);
     }
   }
 
   /** Serves one request. */
   void handle(HttpExchange exchange) {
-    CallerCall call = protocol.read(exchange);
-    if (call instanceof CallerCall.Request request) {
+    CallerRequest call = protocol.read(exchange);
+    if (call instanceof CallerRequest.Routed request) {
       handleRequest(exchange, request);
-    } else if (call instanceof CallerCall.ReadResults read) {
+    } else if (call instanceof CallerRequest.ReadResults read) {
       handleJobCall(exchange, read.key(), tenant -> batch.readResults(exchange, read, tenant));
-    } else if (call instanceof CallerCall.ReadItem read) {
+    } else if (call instanceof CallerRequest.ReadItem read) {
       handleJobCall(exchange, read.key(), tenant -> batch.readItem(exchange, read, tenant));
-    } else if (call instanceof CallerCall.EndJob end) {
+    } else if (call instanceof CallerRequest.EndJob end) {
       handleJobCall(exchange, end.key(), tenant -> batch.end(exchange, end, tenant));
-    } else if (call instanceof CallerCall.Malformed malformed) {
+    } else if (call instanceof CallerRequest.Malformed malformed) {
       exchange.sendError(ApiError.invalid("bad_request", malformed.reason()));
     }
   }
 
   private void handleJobCall(HttpExchange exchange, String key, Consumer<String> call) {
     boolean keysKnown = view.get().routes() != null;
-    if (!keysKnown || (keys.areRequired() && !usable.getAsBoolean())) {
+    if (!keysKnown || (keys.isRequired() && !usable.getAsBoolean())) {
       Refusals.unavailable(exchange, "no configuration yet", UNCONFIRMED_RETRY_AFTER_MS);
       return;
     }
     CallerIdentity caller = keys.identify(key, false);
-    if (caller instanceof CallerIdentity.Unknown) {
+    if (caller instanceof CallerIdentity.MissingOrUnknownKey) {
       refuseUnknownKey(exchange);
     } else {
       call.accept(caller.tenantName());
@@ -194,7 +194,7 @@
     }
   }
 
-  private static void logRefusal(CallerCall.Request request, String reason, FleetView known) {
+  private static void logRefusal(CallerRequest.Routed request, String reason, FleetView known) {
     EVENTS.log(
         EventCode.REQUEST_REFUSED,
         "request",
@@ -209,13 +209,13 @@
         known.routes() == null ? "none" : known.routes().version());
   }
 
-  private void handleRequest(HttpExchange exchange, CallerCall.Request request) {
+  private void handleRequest(HttpExchange exchange, CallerRequest.Routed request) {
     FleetView known = view.get();
     if (!usable.getAsBoolean()) {
       logRefusal(request, "no configuration yet", known);
       double random = ThreadLocalRandom.current().nextDouble();
       long retryAfterMs =
-          StartRefusal.retryAfterMs(startProgress.get(), request.deadlineMs(), random);
+          StartupRetryDelay.retryAfterMs(startProgress.get(), request.deadlineMs(), random);
       Refusals.unavailable(exchange, "no configuration yet", retryAfterMs);
       return;
     }
@@ -235,14 +235,14 @@
   }
 
   private void handleRouted(
-      HttpExchange exchange, CallerCall.Request request, RouteSpec route, FleetView known) {
+      HttpExchange exchange, CallerRequest.Routed request, RouteSpec route, FleetView known) {
     CallerIdentity caller = keys.identify(request.key(), route.anonymous());
-    if (caller instanceof CallerIdentity.Unknown) {
+    if (caller instanceof CallerIdentity.MissingOrUnknownKey) {
       logRefusal(request, "missing or unknown key", known);
       refuseUnknownKey(exchange);
     } else if (route.kind() == RouteKind.BATCH) {
       batch.submit(exchange, request, route, caller.tenantName());
-    } else if (caller instanceof CallerIdentity.Known member) {
+    } else if (caller instanceof CallerIdentity.Authenticated member) {
       limiter.admit(
           member.tenant(),
           outcome -> {
@@ -266,7 +266,7 @@
 
   private void forward(
       HttpExchange exchange,
-      CallerCall.Request request,
+      CallerRequest.Routed request,
       RouteSpec route,
       CallerIdentity caller,
       FleetView known) {
@@ -274,16 +274,16 @@
       return;
     }
     long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-    String service = split.next(route);
+    String service = trafficSplit.next(route);
     long version = known.routes().version();
-    RequestPermission permission =
-        new RequestPermission(caller, () -> isStillAllowed(request, caller));
-    new RequestForwarder(shared, exchange, request, route, service, version, permission, nowMs)
+    RequestAuthorization permission =
+        new RequestAuthorization(caller, () -> isStillAllowed(request, caller));
+    new RequestForwarder(context, exchange, request, route, service, version, permission, nowMs)
         .start();
   }
 
   /** Whether the newest configuration has a route for the request and a tenant for its key. */
-  private boolean isStillAllowed(CallerCall.Request request, CallerIdentity caller) {
+  private boolean isStillAllowed(CallerRequest.Routed request, CallerIdentity caller) {
     Optional<RouteSpec> route = view.get().routes().match(request.host(), request.path());
     return route.isPresent()
         && keys.identify(request.key(), route.get().anonymous())
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -10,8 +10,8 @@
 import io.pathdeck.fleet.FleetMemberProcess;
 import io.pathdeck.fleet.FleetSettings;
 import io.pathdeck.fleet.adapter.FleetAdapter;
-import io.pathdeck.fleet.engine.EngineChoice;
-import io.pathdeck.fleet.engine.EngineLiveness;
+import io.pathdeck.fleet.engine.EngineLivenessProbe;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.NettyEngineTransport;
 import io.pathdeck.fleet.load.LoadExchange;
 import io.pathdeck.fleet.load.LoadMetrics;
@@ -21,8 +21,8 @@
 import io.pathdeck.fleet.member.PeerPool;
 import io.pathdeck.fleet.metrics.FleetMetrics;
 import io.pathdeck.fleet.metrics.MetricsEndpoint;
-import io.pathdeck.fleet.quarantine.EngineEndReporter;
-import io.pathdeck.fleet.quarantine.EngineEndWatch;
+import io.pathdeck.fleet.quarantine.EngineCrashReporter;
+import io.pathdeck.fleet.quarantine.QuarantiningTransport;
 import io.pathdeck.protocol.client.RetryTimer;
 import io.pathdeck.protocol.fleet.FleetProcess;
 import io.pathdeck.protocol.fleet.FleetRole;
@@ -45,8 +45,8 @@
   private final CoordinatorContacts contacts;
   private final FleetFollower follower;
   private final Gateway gateway;
-  private final LoadExchange loads;
-  private final HttpServer callers;
+  private final LoadExchange loadExchange;
+  private final HttpServer callerServer;
   private final AtomicBoolean stopping = new AtomicBoolean();
 
   private GatewayProcess(GatewaySettings settings, TransportTls tls, FleetAdapter adapter) {
@@ -64,11 +64,11 @@
     follower =
         contacts.follower(
             eventLoop,
-            () -> new FleetFollower.SelfReport(describe(life), false, null, limiter.uses()));
-    follower.onContention(limiter::onTold);
-    JobsGroups jobs = new JobsGroups(pool, RetryTimer.on(eventLoops), follower::view);
+            () -> new FleetFollower.SelfReport(describe(life), false, null, limiter.tenantUses()));
+    follower.onContention(limiter::onContendedTenants);
+    JobsGroupLocator jobs = new JobsGroupLocator(pool, RetryTimer.on(eventLoops), follower::view);
     RequestMetrics metrics = new RequestMetrics();
-    EngineEndWatch watch = watch(eventLoop);
+    QuarantiningTransport watch = createEngineWatch(eventLoop);
     gateway =
         new Gateway(
             eventLoop,
@@ -80,23 +80,23 @@
             new BatchCalls(jobs, adapter.callers()),
             limiter,
             watch,
-            new EngineChoice(fleet.zone(), life),
+            new EngineLoadBalancer(fleet.zone(), life),
             metrics);
     LoadMetrics loadMetrics = new LoadMetrics();
-    loads = resources.push(exchange(eventLoop, life, loadMetrics));
+    loadExchange = resources.push(createLoadExchange(eventLoop, life, loadMetrics));
     if (!fleet.tls().isEnabled()) {
-      gateway.onRegularCheck(loads::openIfNeeded);
-      gateway.onCallStarted(loads::onCallStarted);
+      gateway.onPeriodicCheck(loadExchange::openIfNeeded);
+      gateway.onCallStarted(loadExchange::onCallStarted);
     }
     follower.onChange(view -> onChange(view, watch));
-    callers =
+    callerServer =
         resources.push(
             new HttpServer(
                 settings.callersListen(),
                 eventLoops,
                 settings.limits(),
                 Optional.empty(),
-                memory(settings, metrics.memory()),
+                memoryFactory(settings, metrics.memory()),
                 gateway::handle));
     resources.push(
         new HttpServer(
@@ -113,19 +113,20 @@
                     new MetricsEndpoint(
                         address,
                         eventLoops,
-                        registry -> bind(registry, metrics, loadMetrics),
+                        registry -> bindMetrics(registry, metrics, loadMetrics),
                         this::isReady)));
     resources.push(follower);
   }
 
-  private static Supplier<HeldMemory> memory(GatewaySettings settings, MemoryMetrics metrics) {
+  private static Supplier<HeldMemory> memoryFactory(
+      GatewaySettings settings, MemoryMetrics metrics) {
     if (settings.memoryBudgetMb() == 0) {
       return HttpServer.bodiesOnly(settings.limits());
     }
     return new MemoryBudget(settings.memoryBudgetBytes(), metrics)::open;
   }
 
-  private LoadExchange exchange(EventLoop eventLoop, long life, LoadMetrics metrics) {
+  private LoadExchange createLoadExchange(EventLoop eventLoop, long life, LoadMetrics metrics) {
     FleetSettings fleet = settings.fleet();
     return new LoadExchange(
         eventLoop,
@@ -135,26 +136,27 @@
         settings.shareLoad());
   }
 
-  private EngineEndWatch watch(EventLoop eventLoop) {
-    EngineEndReporter reporter =
-        new EngineEndReporter(eventLoop, contacts.client(), follower::reportNow);
+  private QuarantiningTransport createEngineWatch(EventLoop eventLoop) {
+    EngineCrashReporter reporter =
+        new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
     follower.onNewLeader(reporter::onNewLeader);
     NettyEngineTransport transport = new NettyEngineTransport(eventLoop, adapter.engines());
-    EngineLiveness liveness = new EngineLiveness(eventLoop, transport, adapter.engines());
-    return new EngineEndWatch(
+    EngineLivenessProbe liveness = new EngineLivenessProbe(eventLoop, transport, adapter.engines());
+    return new QuarantiningTransport(
         transport, liveness, reporter, eventLoop, engine -> gateway.onEngineEnded(engine));
   }
 
-  private void onChange(FleetView view, EngineEndWatch watch) {
-    watch.follow(view.quarantine());
+  private void onChange(FleetView view, QuarantiningTransport watch) {
+    watch.updateQuarantine(view.quarantine());
     gateway.onChange(view);
-    loads.onChange(view);
+    loadExchange.onChange(view);
     if (view.routes() != null) {
-      callers.setLimits(settings.limitsUnder(view.routes().limits()));
+      callerServer.setLimits(settings.effectiveLimits(view.routes().limits()));
     }
   }
 
-  private void bind(MeterRegistry registry, RequestMetrics metrics, LoadMetrics loadMetrics) {
+  private void bindMetrics(
+      MeterRegistry registry, RequestMetrics metrics, LoadMetrics loadMetrics) {
     metrics.bindTo(registry);
     loadMetrics.bindTo(registry);
     FleetMetrics.bindView(registry, follower);
@@ -183,7 +185,7 @@
         settings.fleet().zone(),
         0,
         life,
-        loads.address(),
+        loadExchange.address(),
         settings.callersListen().toString(),
         isReady(),
         FleetProcess.NO_GROUP,
@@ -222,8 +224,8 @@
     }
     EVENTS.log(EventCode.PROCESS_STOPPING, "role", "gateway", "id", settings.fleet().name());
     follower.reportNow();
-    callers.closeConnectionsAfterResponses();
-    boolean drained = awaitCallersToldOfStop() && callers.drain(restOfStopMs());
+    callerServer.closeConnectionsAfterResponses();
+    boolean drained = awaitMinDrain() && callerServer.drain(remainingDrainMs());
     resources.closeAll();
     EVENTS.log(
         EventCode.PROCESS_STOPPED,
@@ -236,7 +238,7 @@
   }
 
   /** Serves on until the directory's and the platform's answers no longer name this gateway. */
-  private boolean awaitCallersToldOfStop() {
+  private boolean awaitMinDrain() {
     try {
       Thread.sleep(settings.minDrainMs());
       return true;
@@ -246,7 +248,7 @@
     }
   }
 
-  private long restOfStopMs() {
+  private long remainingDrainMs() {
     return Math.max(0, settings.drainMs() - settings.minDrainMs());
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewaySettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewaySettings.java
@@ -41,7 +41,7 @@
   }
 
   /** The limits of the settings, each replaced where a configuration states one. */
-  HttpLimits limitsUnder(CallerLimits stated) {
+  HttpLimits effectiveLimits(CallerLimits stated) {
     int maxBodyBytes = stated.maxBodyBytes() > 0 ? stated.maxBodyBytes() : limits.maxBodyBytes();
     return new HttpLimits(
         stated.maxHeaderBytes() > 0 ? stated.maxHeaderBytes() : limits.maxHeaderBytes(),
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/JobsGroups.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/JobsGroupLocator.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 
 /** The ways to the groups that keep batch jobs. Thread-safe. */
-final class JobsGroups {
+final class JobsGroupLocator {
   /**
    * The group of a job.
    *
@@ -34,14 +34,14 @@
   private final Supplier<FleetView> view;
   private final Map<Integer, GroupClient> clients = new ConcurrentHashMap<>();
 
-  JobsGroups(PeerPool pool, RetryTimer timer, Supplier<FleetView> view) {
+  JobsGroupLocator(PeerPool pool, RetryTimer timer, Supplier<FleetView> view) {
     this.pool = pool;
     this.timer = timer;
     this.view = view;
   }
 
   /** The group that keeps a job; empty while this gateway has not heard of any group. */
-  Optional<JobsGroup> of(String jobId) {
+  Optional<JobsGroup> groupOf(String jobId) {
     int count = view.get().jobsFounders().size();
     if (count == 0) {
       return Optional.empty();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
@@ -28,7 +28,7 @@
   private final MemoryMetrics metrics;
 
   /** The holdings that are not empty. */
-  private final Set<Holding> holdings = new LinkedHashSet<>();
+  private final Set<Reservation> reservations = new LinkedHashSet<>();
 
   private long heldBytes;
 
@@ -39,7 +39,7 @@
 
   /** What one connection will hold. */
   HeldMemory open() {
-    return new Holding();
+    return new Reservation();
   }
 
   long heldBytes() {
@@ -48,49 +48,49 @@
 
   /** What the requests of a tenant hold. */
   long heldBytes(String tenant) {
-    return holdings.stream()
+    return reservations.stream()
         .filter(holding -> holding.tenant.equals(tenant))
-        .mapToLong(Holding::bytes)
+        .mapToLong(Reservation::bytes)
         .sum();
   }
 
   /** Makes room after {@code asking} has grown; returns whether it may stay. */
-  private boolean makeRoom(Holding asking) {
-    List<GivenUp> others = new ArrayList<>();
+  private boolean makeRoom(Reservation asking) {
+    List<Evicted> others = new ArrayList<>();
     boolean stays = true;
     while (heldBytes > maxBytes && stays) {
-      Optional<Holding> costliest = costliest();
+      Optional<Reservation> costliest = evictionCandidate();
       stays = costliest.isPresent() && costliest.get() != asking;
       if (stays) {
-        others.add(costliest.get().giveUp());
+        others.add(costliest.get().evict());
       }
     }
-    others.forEach(this::tell);
+    others.forEach(this::notifyOwner);
     return stays;
   }
 
-  private Optional<Holding> costliest() {
+  private Optional<Reservation> evictionCandidate() {
     Map<String, Long> bytesOfTenants = new HashMap<>();
-    for (Holding holding : holdings) {
+    for (Reservation holding : reservations) {
       if (holding.owner != null) {
         bytesOfTenants.merge(holding.tenant, holding.bytes(), Long::sum);
       }
     }
-    ToLongFunction<Holding> bytesOfTenant = holding -> bytesOfTenants.get(holding.tenant);
-    return holdings.stream()
+    ToLongFunction<Reservation> bytesOfTenant = holding -> bytesOfTenants.get(holding.tenant);
+    return reservations.stream()
         .filter(holding -> holding.owner != null)
-        .max(Comparator.comparingLong(bytesOfTenant).thenComparingLong(Holding::bytes));
+        .max(Comparator.comparingLong(bytesOfTenant).thenComparingLong(Reservation::bytes));
   }
 
-  private void tell(GivenUp givenUp) {
-    onGivenUp(givenUp.tenant(), givenUp.bytes(), givenUp.owner().giveUp());
+  private void notifyOwner(Evicted givenUp) {
+    recordEviction(givenUp.tenant(), givenUp.bytes(), givenUp.owner().giveUp());
   }
 
-  private void onGivenUp(String tenant, long bytes, boolean rejected) {
+  private void recordEviction(String tenant, long bytes, boolean rejected) {
     if (rejected) {
       metrics.onRejected();
     } else {
-      metrics.onBrokenOff();
+      metrics.onAborted();
     }
     EVENTS.log(
         EventCode.MEMORY_BUDGET_REACHED,
@@ -104,26 +104,26 @@
         rejected);
   }
 
-  private void count(Holding holding, long change) {
+  private void applyChange(Reservation holding, long change) {
     heldBytes += change;
     metrics.setHeldBytes(heldBytes);
     if (holding.bytes() > 0) {
-      holdings.add(holding);
+      reservations.add(holding);
     } else {
-      holdings.remove(holding);
+      reservations.remove(holding);
     }
   }
 
   /** A holding that was taken out of the account, and whoever frees its memory. */
-  private record GivenUp(String tenant, long bytes, HeldMemory.Owner owner) {}
+  private record Evicted(String tenant, long bytes, HeldMemory.Owner owner) {}
 
   /** What one connection holds; after it was given up, until its end, it counts nothing. */
-  private final class Holding implements HeldMemory {
+  private final class Reservation implements HeldMemory {
     private String tenant = "";
     private Owner owner;
     private long bodyBytes;
     private long answerBytes;
-    private boolean givenUp;
+    private boolean evicted;
 
     long bytes() {
       return bodyBytes + answerBytes;
@@ -136,33 +136,33 @@
 
     @Override
     public boolean tryHoldBody(long bytes) {
-      if (givenUp) {
+      if (evicted) {
         return false;
       }
       bodyBytes += bytes;
-      count(this, bytes);
+      applyChange(this, bytes);
       if (makeRoom(this)) {
         return true;
       }
       bodyBytes -= bytes;
-      count(this, -bytes);
-      onGivenUp(tenant, bytes, true);
+      applyChange(this, -bytes);
+      recordEviction(tenant, bytes, true);
       return false;
     }
 
     @Override
     public boolean tryHoldAnswer(long bytes) {
-      if (givenUp) {
+      if (evicted) {
         return false;
       }
       answerBytes += bytes;
-      count(this, bytes);
+      applyChange(this, bytes);
       if (makeRoom(this)) {
         return true;
       }
       answerBytes -= bytes;
-      count(this, -bytes);
-      onGivenUp(tenant, bytes, false);
+      applyChange(this, -bytes);
+      recordEviction(tenant, bytes, false);
       return false;
     }
 
@@ -170,29 +170,29 @@
     public void releaseAnswer(long bytes) {
       long released = Math.min(bytes, answerBytes);
       answerBytes -= released;
-      count(this, -released);
+      applyChange(this, -released);
     }
 
     @Override
     public void releaseAll() {
-      drop();
-      givenUp = false;
+      clear();
+      evicted = false;
       tenant = "";
       owner = null;
     }
 
-    private void drop() {
+    private void clear() {
       long released = bytes();
       bodyBytes = 0;
       answerBytes = 0;
-      count(this, -released);
+      applyChange(this, -released);
     }
 
-    private GivenUp giveUp() {
-      GivenUp left = new GivenUp(tenant, bytes(), owner);
-      drop();
+    private Evicted evict() {
+      Evicted left = new Evicted(tenant, bytes(), owner);
+      clear();
       owner = null;
-      givenUp = true;
+      evicted = true;
       return left;
     }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryMetrics.java
@@ -10,7 +10,7 @@
 final class MemoryMetrics {
   private final AtomicLong heldBytes = new AtomicLong();
   private final LongAdder rejected = new LongAdder();
-  private final LongAdder brokenOff = new LongAdder();
+  private final LongAdder aborted = new LongAdder();
   private final LongAdder readsPaused = new LongAdder();
 
   void setHeldBytes(long bytes) {
@@ -21,8 +21,8 @@
     rejected.increment();
   }
 
-  void onBrokenOff() {
-    brokenOff.increment();
+  void onAborted() {
+    aborted.increment();
   }
 
   void onReadPaused() {
@@ -37,14 +37,14 @@
     return readsPaused.sum();
   }
 
-  long brokenOff() {
-    return brokenOff.sum();
+  long aborted() {
+    return aborted.sum();
   }
 
   void bindTo(MeterRegistry registry) {
     Gauge.builder("pathdeck.memory.held.bytes", heldBytes, AtomicLong::get).register(registry);
     counter(registry, "pathdeck.memory.rejected", rejected);
-    counter(registry, "pathdeck.memory.broken.off", brokenOff);
+    counter(registry, "pathdeck.memory.broken.off", aborted);
     counter(registry, "pathdeck.engine.reads.paused", readsPaused);
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/QueueMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/QueueMetrics.java
@@ -10,8 +10,8 @@
 final class QueueMetrics {
   private final AtomicInteger waiting = new AtomicInteger();
   private final LongAdder sentAfterWait = new LongAdder();
-  private final LongAdder hopeless = new LongAdder();
-  private final LongAdder givenWay = new LongAdder();
+  private final LongAdder rejectedTooLate = new LongAdder();
+  private final LongAdder evicted = new LongAdder();
 
   void setWaiting(int requests) {
     waiting.set(requests);
@@ -21,19 +21,19 @@
     sentAfterWait.increment();
   }
 
-  void onHopeless() {
-    hopeless.increment();
+  void onRejectedTooLate() {
+    rejectedTooLate.increment();
   }
 
-  void onGivenWay() {
-    givenWay.increment();
+  void onEvicted() {
+    evicted.increment();
   }
 
   void bindTo(MeterRegistry registry) {
     Gauge.builder("pathdeck.requests.waiting", waiting, AtomicInteger::get).register(registry);
     counter(registry, "pathdeck.requests.sent.after.wait", sentAfterWait);
-    counter(registry, "pathdeck.requests.rejected.hopeless", hopeless);
-    counter(registry, "pathdeck.requests.given.way", givenWay);
+    counter(registry, "pathdeck.requests.rejected.hopeless", rejectedTooLate);
+    counter(registry, "pathdeck.requests.given.way", evicted);
   }
 
   private static void counter(MeterRegistry registry, String name, LongAdder count) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ReadPause.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ReadPause.java
@@ -9,29 +9,29 @@
  */
 final class ReadPause {
   /** Some hundred events: a caller that keeps up never has so much waiting. */
-  static final long HIGH_BYTES = 128 << 10;
+  static final long HIGH_WATERMARK_BYTES = 128 << 10;
 
   /** Enough to keep a caller busy until the engine's next bytes are here. */
-  static final long LOW_BYTES = 32 << 10;
+  static final long LOW_WATERMARK_BYTES = 32 << 10;
 
   /** Below the seconds after which engines cut off, with room for a late check. */
   static final long MAX_PAUSE_MS = 1_500;
 
   private boolean paused;
-  private boolean usedUp;
-  private long sinceMs;
+  private boolean exhausted;
+  private long pausedSinceMs;
 
   /** Decides anew from what the caller has not taken yet; returns whether reading is paused. */
   boolean update(long pendingBytes, long nowMs) {
-    if (pendingBytes <= LOW_BYTES) {
+    if (pendingBytes <= LOW_WATERMARK_BYTES) {
       paused = false;
-      usedUp = false;
-    } else if (paused && nowMs - sinceMs >= MAX_PAUSE_MS) {
+      exhausted = false;
+    } else if (paused && nowMs - pausedSinceMs >= MAX_PAUSE_MS) {
       paused = false;
-      usedUp = true;
-    } else if (!paused && !usedUp && pendingBytes > HIGH_BYTES) {
+      exhausted = true;
+    } else if (!paused && !exhausted && pendingBytes > HIGH_WATERMARK_BYTES) {
       paused = true;
-      sinceMs = nowMs;
+      pausedSinceMs = nowMs;
     }
     return paused;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestPermission.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestAuthorization.java
@@ -6,7 +6,7 @@
  * What lets a request be sent to engines.
  *
  * @param caller who sent the request
- * @param stillGiven whether the newest configuration allows the request; asked before each send
+ * @param stillAllowed whether the newest configuration allows the request; asked before each send
  *     after the first one, and after a wait
  */
-record RequestPermission(CallerIdentity caller, BooleanSupplier stillGiven) {}
+record RequestAuthorization(CallerIdentity caller, BooleanSupplier stillAllowed) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -2,11 +2,11 @@
 
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTable;
-import io.pathdeck.fleet.queue.EngineRoom;
+import io.pathdeck.fleet.queue.EngineCapacity;
 import io.pathdeck.fleet.queue.QueueDecision;
 import io.pathdeck.fleet.queue.QueuePolicy;
 import io.pathdeck.fleet.queue.RequestQueue;
-import io.pathdeck.fleet.queue.ReturnTimes;
+import io.pathdeck.fleet.queue.RetryAfterSchedule;
 import io.pathdeck.fleet.queue.ServiceTimes;
 import io.pathdeck.fleet.queue.WaitingRequest;
 import java.util.HashMap;
@@ -38,12 +38,12 @@
    * When requests wait.
    *
    * @param callersCompete whether the configuration lets callers compete
-   * @param tellsPace whether an engine tells how fast it works at present
+   * @param reportsPace whether an engine tells how fast it works at present
    */
-  record Switch(BooleanSupplier callersCompete, Predicate<EngineState> tellsPace) {
+  record QueueingRule(BooleanSupplier callersCompete, Predicate<EngineState> reportsPace) {
     /** Whether requests to these engines wait when there is no room. */
-    boolean isOn(List<EngineState> engines) {
-      return callersCompete.getAsBoolean() || engines.stream().anyMatch(tellsPace);
+    boolean appliesTo(List<EngineState> engines) {
+      return callersCompete.getAsBoolean() || engines.stream().anyMatch(reportsPace);
     }
   }
 
@@ -53,25 +53,29 @@
   }
 
   /** What is kept for one service. */
-  private static final class Service {
+  private static final class ServiceState {
     final RequestQueue<Dispatchable> queue = new RequestQueue<>(MAX_WAITING, MAX_WAITING_BYTES);
     final ServiceTimes times = new ServiceTimes();
-    final ReturnTimes returnTimes = new ReturnTimes();
+    final RetryAfterSchedule returnTimes = new RetryAfterSchedule();
   }
 
   private final EngineTable engines;
-  private final Switch when;
+  private final QueueingRule queueingRule;
   private final Timer timer;
   private final LongSupplier clockMs;
   private final QueueMetrics metrics;
-  private final Map<String, Service> services = new HashMap<>();
-  private boolean checkPlanned;
-  private boolean dispatchPlanned;
+  private final Map<String, ServiceState> services = new HashMap<>();
+  private boolean checkScheduled;
+  private boolean dispatchScheduled;
 
   RequestDispatcher(
-      EngineTable engines, Switch when, Timer timer, LongSupplier clockMs, QueueMetrics metrics) {
+      EngineTable engines,
+      QueueingRule when,
+      Timer timer,
+      LongSupplier clockMs,
+      QueueMetrics metrics) {
     this.engines = engines;
-    this.when = when;
+    this.queueingRule = when;
     this.timer = timer;
     this.clockMs = clockMs;
     this.metrics = metrics;
@@ -79,16 +83,16 @@
 
   /** Sends a request that does not wait yet, or lets it wait. */
   void submit(Dispatchable request) {
-    Dispatchable.Needs needs = request.needs();
-    List<EngineState> candidates = candidates(needs.service(), request.tried());
-    if (!when.isOn(candidates)) {
+    Dispatchable.DispatchAttributes needs = request.attributes();
+    List<EngineState> candidates = candidates(needs.service(), request.triedEngineIds());
+    if (!queueingRule.appliesTo(candidates)) {
       request.sendTo(candidates);
       return;
     }
-    Service service = services.computeIfAbsent(needs.service(), added -> new Service());
+    ServiceState service = services.computeIfAbsent(needs.service(), added -> new ServiceState());
     QueueDecision decision = decide(service, needs, QueuePolicy.Request.NOT_HELD, candidates);
     if (decision instanceof QueueDecision.Reject reject) {
-      rejectHopeless(service, request, reject);
+      rejectTooLate(service, request, reject);
       return;
     }
     long untilMs =
@@ -98,7 +102,10 @@
   }
 
   private void enqueue(
-      Service service, Dispatchable request, Dispatchable.Needs needs, long holdUntilMs) {
+      ServiceState service,
+      Dispatchable request,
+      Dispatchable.DispatchAttributes needs,
+      long holdUntilMs) {
     List<WaitingRequest<Dispatchable>> givenWay =
         service.queue.add(
             new WaitingRequest<>(
@@ -111,15 +118,15 @@
                 needs.bytes(),
                 needs.work()));
     for (WaitingRequest<Dispatchable> waiting : givenWay) {
-      giveWay(service, waiting.request());
+      evict(service, waiting.request());
     }
   }
 
   /** A request that may have run cannot be rejected: it goes to an engine's queue. */
-  private void giveWay(Service service, Dispatchable request) {
-    metrics.onGivenWay();
-    Dispatchable.Needs needs = request.needs();
-    List<EngineState> candidates = candidates(needs.service(), request.tried());
+  private void evict(ServiceState service, Dispatchable request) {
+    metrics.onEvicted();
+    Dispatchable.DispatchAttributes needs = request.attributes();
+    List<EngineState> candidates = candidates(needs.service(), request.triedEngineIds());
     if (needs.mayBeRejected()) {
       double waitMs = QueuePolicy.expectedWaitMs(rooms(candidates), service.times);
       reject(service, request, "too many requests wait", Math.round(waitMs));
@@ -128,63 +135,64 @@
     }
   }
 
-  private void rejectHopeless(
-      Service service, Dispatchable request, QueueDecision.Reject decision) {
-    metrics.onHopeless();
+  private void rejectTooLate(
+      ServiceState service, Dispatchable request, QueueDecision.Reject decision) {
+    metrics.onRejectedTooLate();
     reject(service, request, "no engine is free in time", decision.expectedWaitMs());
   }
 
-  private void reject(Service service, Dispatchable request, String reason, long expectedWaitMs) {
+  private void reject(
+      ServiceState service, Dispatchable request, String reason, long expectedWaitMs) {
     long nowMs = clockMs.getAsLong();
-    long timeLeftMs = request.needs().deadlineMs() - nowMs;
+    long timeLeftMs = request.attributes().deadlineMs() - nowMs;
     long retryAfterMs = service.returnTimes.retryAfterMs(expectedWaitMs, timeLeftMs, nowMs);
     request.reject(reason, retryAfterMs);
   }
 
   /** The caller has left, or its time is over. */
   void remove(Dispatchable request) {
-    Service service = services.get(request.needs().service());
+    ServiceState service = services.get(request.attributes().service());
     if (service != null && service.queue.remove(request)) {
-      noteWaiting();
+      updateWaitingGauge();
     }
   }
 
   /** An engine began an answer and told its load perhaps: there may be room. */
-  void onFirstBytes(String service, EngineUse use) {
-    Service known = services.get(service);
-    if (known != null && use.foundRoom()) {
-      known.times.onFirstBytes(use.firstAfterMs());
+  void onFirstBytes(String service, AttemptTracker use) {
+    ServiceState known = services.get(service);
+    if (known != null && use.hadFreeSlot()) {
+      known.times.onFirstBytes(use.timeToFirstByteMs());
     }
-    dispatchSoon();
+    scheduleDispatch();
   }
 
   /** A request has left its engine: there may be room. */
-  void onPlaceFreed(String service, EngineUse use) {
-    Service known = services.get(service);
-    if (known != null && use.hasBegun()) {
-      known.times.onPlaceFreed(use.answeringMs(clockMs.getAsLong()));
+  void onSlotFreed(String service, AttemptTracker use) {
+    ServiceState known = services.get(service);
+    if (known != null && use.hasResponse()) {
+      known.times.onSlotFreed(use.respondingMs(clockMs.getAsLong()));
     }
-    dispatchSoon();
+    scheduleDispatch();
   }
 
-  private void dispatchSoon() {
-    if (!dispatchPlanned && anyWaits()) {
-      dispatchPlanned = true;
+  private void scheduleDispatch() {
+    if (!dispatchScheduled && hasWaitingRequests()) {
+      dispatchScheduled = true;
       timer.runAfter(
           0,
           () -> {
-            dispatchPlanned = false;
+            dispatchScheduled = false;
             dispatchAll();
           });
     }
   }
 
-  private boolean anyWaits() {
+  private boolean hasWaitingRequests() {
     return services.values().stream().anyMatch(service -> !service.queue.isEmpty());
   }
 
   private void dispatchAll() {
-    for (Service service : List.copyOf(services.values())) {
+    for (ServiceState service : List.copyOf(services.values())) {
       dispatch(service);
     }
   }
@@ -193,27 +201,27 @@
    * Sends waiting requests in their order while there is room or one has waited long enough. Those
    * before that one go too: engines' queues keep the order.
    */
-  private void dispatch(Service service) {
+  private void dispatch(ServiceState service) {
     Optional<WaitingRequest<Dispatchable>> next = service.queue.peek();
-    while (next.isPresent() && sendIfMayGo(service, next.get())) {
+    while (next.isPresent() && sendIfReady(service, next.get())) {
       next = service.queue.peek();
     }
-    noteWaiting();
-    planCheck();
+    updateWaitingGauge();
+    scheduleCheck();
   }
 
-  private boolean sendIfMayGo(Service service, WaitingRequest<Dispatchable> next) {
+  private boolean sendIfReady(ServiceState service, WaitingRequest<Dispatchable> next) {
     Dispatchable request = next.request();
-    Dispatchable.Needs needs = request.needs();
-    List<EngineState> candidates = candidates(needs.service(), request.tried());
+    Dispatchable.DispatchAttributes needs = request.attributes();
+    List<EngineState> candidates = candidates(needs.service(), request.triedEngineIds());
     QueueDecision decision = decide(service, needs, next.holdUntilMs(), candidates);
-    boolean overdue = service.queue.hasOverdue(clockMs.getAsLong());
+    boolean overdue = service.queue.hasExpiredHold(clockMs.getAsLong());
     if (decision instanceof QueueDecision.Wait && !overdue) {
       return false;
     }
     service.queue.poll();
     if (decision instanceof QueueDecision.Reject reject) {
-      rejectHopeless(service, request, reject);
+      rejectTooLate(service, request, reject);
       return true;
     }
     if (clockMs.getAsLong() > next.sinceMs()) {
@@ -224,7 +232,10 @@
   }
 
   private QueueDecision decide(
-      Service service, Dispatchable.Needs needs, long holdUntilMs, List<EngineState> candidates) {
+      ServiceState service,
+      Dispatchable.DispatchAttributes needs,
+      long holdUntilMs,
+      List<EngineState> candidates) {
     QueuePolicy.Request request =
         new QueuePolicy.Request(
             needs.dueMs(), needs.deadlineMs(), holdUntilMs, needs.mayBeRejected());
@@ -234,10 +245,10 @@
   private List<EngineState> candidates(String service, Set<String> tried) {
     long nowMs = clockMs.getAsLong();
     List<EngineState> usable = engines.usable(service, tried, nowMs);
-    return usable.isEmpty() ? engines.listed(service, tried, nowMs) : usable;
+    return usable.isEmpty() ? engines.inService(service, tried, nowMs) : usable;
   }
 
-  private List<EngineRoom> rooms(List<EngineState> candidates) {
+  private List<EngineCapacity> rooms(List<EngineState> candidates) {
     return candidates.stream().map(this::room).toList();
   }
 
@@ -248,26 +259,26 @@
     return notFull.isEmpty() ? candidates : notFull;
   }
 
-  private EngineRoom room(EngineState engine) {
+  private EngineCapacity room(EngineState engine) {
     long nowMs = clockMs.getAsLong();
-    return new EngineRoom(
+    return new EngineCapacity(
         engine.instance().slots(),
         engine.inFlight() + engine.peerCalls(),
         engine.estimatedLoad(nowMs),
         engine.loadAgeMs(nowMs));
   }
 
-  private void noteWaiting() {
+  private void updateWaitingGauge() {
     metrics.setWaiting(services.values().stream().mapToInt(each -> each.queue.size()).sum());
   }
 
-  private void planCheck() {
-    if (!checkPlanned && anyWaits()) {
-      checkPlanned = true;
+  private void scheduleCheck() {
+    if (!checkScheduled && hasWaitingRequests()) {
+      checkScheduled = true;
       timer.runAfter(
           CHECK_INTERVAL_MS,
           () -> {
-            checkPlanned = false;
+            checkScheduled = false;
             dispatchAll();
           });
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -1,16 +1,16 @@
 package io.pathdeck.fleet.gateway;
 
 import io.netty.util.concurrent.ScheduledFuture;
-import io.pathdeck.fleet.adapter.CallerCall;
-import io.pathdeck.fleet.adapter.EngineAnswer;
+import io.pathdeck.fleet.adapter.CallerRequest;
 import io.pathdeck.fleet.adapter.EngineCall;
+import io.pathdeck.fleet.adapter.EngineResponse;
 import io.pathdeck.fleet.engine.EngineFailure;
 import io.pathdeck.fleet.engine.EngineListener;
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTransport;
-import io.pathdeck.fleet.engine.EventScanner;
 import io.pathdeck.fleet.engine.Placement;
 import io.pathdeck.fleet.engine.Prompt;
+import io.pathdeck.fleet.engine.SseEventScanner;
 import io.pathdeck.fleet.queue.Rank;
 import io.pathdeck.protocol.fleet.RouteKind;
 import io.pathdeck.protocol.fleet.RouteSpec;
@@ -34,16 +34,16 @@
   /** For how long coordinators hold a request back after they found that engines end under it. */
   private static final long QUARANTINE_RETRY_AFTER_MS = 600_000;
 
-  private static final String MEMORY_SHORT = "memory for callers is short";
+  private static final String MEMORY_EXHAUSTED = "memory for callers is short";
 
   /** Callers that come back sooner find the memory in use by the same slow ones. */
   private static final long MEMORY_RETRY_AFTER_MS = 1_000;
 
   private static final long NOT_WAITING = -1;
 
-  private final ForwardingContext shared;
+  private final ForwardingContext context;
   private final HttpExchange exchange;
-  private final CallerCall.Request request;
+  private final CallerRequest.Routed request;
   private final Prompt prompt;
   private final RouteSpec route;
   private final String service;
@@ -52,12 +52,12 @@
   private final long deadlineMs;
   private final AttemptBudget budget;
   private final RequestLog log;
-  private final RequestPermission permission;
-  private final Set<String> tried = new HashSet<>();
+  private final RequestAuthorization authorization;
+  private final Set<String> triedEngineIds = new HashSet<>();
   private ScheduledFuture<?> timeout;
   private Attempt attempt;
   private boolean headSent;
-  private long firstMs;
+  private long timeToFirstByteMs;
   private long lastEventId;
   private boolean finished;
   private long waitingSinceMs = NOT_WAITING;
@@ -66,16 +66,16 @@
   RequestForwarder(
       ForwardingContext shared,
       HttpExchange exchange,
-      CallerCall.Request request,
+      CallerRequest.Routed request,
       RouteSpec route,
       String service,
       long routesVersion,
-      RequestPermission permission,
+      RequestAuthorization permission,
       long nowMs) {
     this.routesVersion = routesVersion;
-    this.permission = permission;
+    this.authorization = permission;
     this.startMs = nowMs;
-    this.shared = shared;
+    this.context = shared;
     this.exchange = exchange;
     this.request = request;
     this.prompt = Prompt.of(request.promptTokens(), request.promptParts());
@@ -88,7 +88,7 @@
     if (request.deadlineMs() > 0) {
       waitMs = Math.min(waitMs, request.deadlineMs());
     }
-    this.deadlineMs = nowMs + Math.max(1, waitMs - shared.settings().answerMarginMs());
+    this.deadlineMs = nowMs + Math.max(1, waitMs - shared.settings().responseMarginMs());
   }
 
   private static long nowMs() {
@@ -96,12 +96,12 @@
   }
 
   void start() {
-    shared.active().add(this);
-    exchange.onVanished(this::onCallerLeft);
-    exchange.memory().belongTo(permission.caller().tenantName(), this::giveUpForMemory);
-    exchange.onPartWritten(() -> isHeldBack(nowMs()));
+    context.activeRequests().add(this);
+    exchange.onVanished(this::onCallerDisconnected);
+    exchange.memory().belongTo(authorization.caller().tenantName(), this::evict);
+    exchange.onPartWritten(() -> isReadPaused(nowMs()));
     long waitMs = Math.max(0, deadlineMs - nowMs());
-    timeout = shared.eventLoop().schedule(this::onDeadline, waitMs, TimeUnit.MILLISECONDS);
+    timeout = context.eventLoop().schedule(this::onDeadline, waitMs, TimeUnit.MILLISECONDS);
     sendToNextEngine();
   }
 
@@ -109,16 +109,16 @@
 
   private void sendToNextEngine() {
     waitingSinceMs = nowMs();
-    shared.dispatcher().submit(this);
+    context.dispatcher().submit(this);
   }
 
   @Override
-  public Needs needs() {
+  public DispatchAttributes attributes() {
     Rank rank =
-        new Rank(budget.sends() > 0, permission.caller().tenantPriority(), route.priority());
-    return new Needs(
+        new Rank(budget.sends() > 0, authorization.caller().tenantPriority(), route.priority());
+    return new DispatchAttributes(
         service,
-        permission.caller().tenantName(),
+        authorization.caller().tenantName(),
         rank,
         route.targetMs() > 0 ? startMs + route.targetMs() : deadlineMs,
         deadlineMs,
@@ -128,8 +128,8 @@
   }
 
   @Override
-  public Set<String> tried() {
-    return tried;
+  public Set<String> triedEngineIds() {
+    return triedEngineIds;
   }
 
   @Override
@@ -137,19 +137,19 @@
     long now = nowMs();
     boolean waited = now > waitingSinceMs;
     endWait(now);
-    if (waited && !permission.stillGiven().getAsBoolean()) {
-      finishWithoutEngine("the configuration does not allow the request any more");
+    if (waited && !authorization.stillAllowed().getAsBoolean()) {
+      finishUnserved("the configuration does not allow the request any more");
       return;
     }
-    Optional<Placement> placement = shared.choice().choose(candidates, prompt, now);
+    Optional<Placement> placement = context.choice().choose(candidates, prompt, now);
     if (placement.isEmpty()) {
-      finishWithoutEngine("no engine left");
+      finishUnserved("no engine left");
       return;
     }
     budget.onSend();
-    shared.metrics().onAttempt();
+    context.metrics().onAttempt();
     attempt = new Attempt(placement.get(), now);
-    attempt.begin();
+    attempt.start();
   }
 
   @Override
@@ -164,74 +164,74 @@
     }
   }
 
-  private void afterFailure(boolean didNotRun, String reason) {
+  private void retryOrFinish(boolean didNotRun, String reason) {
     if (attempt != null) {
-      attempt.collected.drop();
+      attempt.bufferedResponse.discard();
       attempt = null;
     }
     if (didNotRun) {
       budget.onNotRun();
     }
     boolean timeLeft = deadlineMs - nowMs() > 0;
-    if (!permission.stillGiven().getAsBoolean()) {
-      finishWithoutEngine("the configuration does not allow the request any more");
-    } else if (timeLeft && budget.mayTryAgain()) {
+    if (!authorization.stillAllowed().getAsBoolean()) {
+      finishUnserved("the configuration does not allow the request any more");
+    } else if (timeLeft && budget.mayRetry()) {
       sendToNextEngine();
     } else {
-      finishWithoutEngine(reason);
+      finishUnserved(reason);
     }
   }
 
   /** Called regularly: an engine that is silent for too long is given up where that is allowed. */
   void checkSilence(long nowMs) {
-    if (finished || attempt == null || isHeldBack(nowMs)) {
+    if (finished || attempt == null || isReadPaused(nowMs)) {
       return;
     }
-    long limit = shared.silenceLimit().limitMs(request.promptTokens());
+    long limit = context.silenceTimeout().timeoutMs(request.promptTokens());
     boolean silent =
         attempt.engine().silenceMs(nowMs) > limit && nowMs - attempt.lastProgressMs > limit;
     if (!silent) {
       return;
     }
     attempt.engine().onFailure(nowMs);
-    if (budget.mayTryAgain()) {
-      shared.silenceLimit().onGivenUp(limit);
-      attempt.giveUp("silent for " + limit + " ms");
+    if (budget.mayRetry()) {
+      context.silenceTimeout().onTimeout(limit);
+      attempt.abandon("silent for " + limit + " ms");
     }
   }
 
   /** Whether the answer is not read now since the caller takes it slowly. */
-  private boolean isHeldBack(long nowMs) {
-    boolean paused = attempt != null && attempt.pacing.isPaused();
-    if (paused && attempt.pacing.update(nowMs)) {
+  private boolean isReadPaused(long nowMs) {
+    boolean paused = attempt != null && attempt.flowControl.isPaused();
+    if (paused && attempt.flowControl.update(nowMs)) {
       attempt.lastProgressMs = nowMs;
     }
-    return paused && attempt.pacing.isPaused();
+    return paused && attempt.flowControl.isPaused();
   }
 
   // ---- ends
 
-  private void stop(String reason) {
+  private void cancelAndFinish(String reason) {
     cancelAttempt();
-    finishWithoutEngine(reason);
+    finishUnserved(reason);
   }
 
   /** Frees what the request keeps in memory; returns whether it is rejected as not run. */
-  private boolean giveUpForMemory() {
+  private boolean evict() {
     if (finished) {
       exchange.breakOff();
       return false;
     }
     boolean notRun = !headSent && !budget.mayHaveRun();
     if (notRun) {
-      refuse(MEMORY_SHORT, MEMORY_RETRY_AFTER_MS);
+      refuse(MEMORY_EXHAUSTED, MEMORY_RETRY_AFTER_MS);
     } else {
-      stop(MEMORY_SHORT);
+      cancelAndFinish(MEMORY_EXHAUSTED);
     }
     return notRun;
   }
 
-  private void finishWithoutEngine(String reason) {
+  private void finishUnserved(String reason) {
     if (headSent) {
       log.failed(reason, "after_event", lastEventId);
       finish(RequestMetrics.Outcome.FAILED);
@@ -239,7 +239,7 @@
     } else if (budget.mayHaveRun()) {
       fail(502, "engine_failed", reason);
     } else {
-      refuse(reason, shared.settings().refusedRetryAfterMs());
+      refuse(reason, context.settings().refusedRetryAfterMs());
     }
   }
 
@@ -261,7 +261,7 @@
     attempt = null;
     budget.onNotRun();
     if (headSent || budget.mayHaveRun()) {
-      finishWithoutEngine(reason);
+      finishUnserved(reason);
       return;
     }
     refuse(reason, QUARANTINE_RETRY_AFTER_MS);
@@ -274,13 +274,13 @@
     boolean mayHaveRun = budget.mayHaveRun();
     cancelAttempt();
     if (headSent || !mayHaveRun) {
-      finishWithoutEngine("the time is over");
+      finishUnserved("the time is over");
     } else {
       fail(504, "timeout", "the time is over");
     }
   }
 
-  private void onCallerLeft() {
+  private void onCallerDisconnected() {
     if (!finished) {
       cancelAttempt();
       finish(RequestMetrics.Outcome.CALLER_LEFT);
@@ -295,47 +295,48 @@
   }
 
   private void finish(RequestMetrics.Outcome outcome) {
-    shared.metrics().onEnd(route.kind(), outcome);
-    finishQuietly();
+    context.metrics().onEnd(route.kind(), outcome);
+    cleanUp();
   }
 
   private void finishServed() {
-    shared.metrics().onServed(route.kind(), firstMs, nowMs() - startMs);
-    finishQuietly();
+    context.metrics().onServed(route.kind(), timeToFirstByteMs, nowMs() - startMs);
+    cleanUp();
   }
 
-  private void finishQuietly() {
+  private void cleanUp() {
     finished = true;
     timeout.cancel(false);
-    shared.active().remove(this);
-    shared.dispatcher().remove(this);
+    context.activeRequests().remove(this);
+    context.dispatcher().remove(this);
   }
 
   /** One send of the request to one engine. */
   private final class Attempt implements EngineListener {
-    private final EngineUse use;
-    private final CollectedAnswer collected = new CollectedAnswer(exchange.memory());
-    private final AnswerPacing pacing = new AnswerPacing(exchange, shared.metrics().memory());
+    private final AttemptTracker tracker;
+    private final BufferedResponse bufferedResponse = new BufferedResponse(exchange.memory());
+    private final ResponseFlowControl flowControl =
+        new ResponseFlowControl(exchange, context.metrics().memory());
     private EngineTransport.Handle handle;
-    private EngineAnswer answer;
-    private EventScanner scanner;
+    private EngineResponse responseHead;
+    private SseEventScanner scanner;
     private long lastProgressMs;
-    private boolean over;
+    private boolean ended;
 
     Attempt(Placement placement, long nowMs) {
-      this.use = new EngineUse(placement, nowMs);
+      this.tracker = new AttemptTracker(placement, nowMs);
       this.lastProgressMs = nowMs;
     }
 
     EngineState engine() {
-      return use.engine();
+      return tracker.engine();
     }
 
-    void begin() {
-      tried.add(engine().instance().id());
-      use.begin();
-      shared.callStarted().run();
-      scanner = new EventScanner(lastEventId);
+    void start() {
+      triedEngineIds.add(engine().instance().id());
+      tracker.begin();
+      context.callStartListener().run();
+      scanner = new SseEventScanner(lastEventId);
       EngineCall call =
           new EngineCall(
               engine().instance(),
@@ -343,94 +344,95 @@
               exchange.uri(),
               request.host(),
               request.requestId(),
-              permission.caller().toEngines(),
+              authorization.caller().toEngineTenant(),
               request.headers(),
               exchange.body(),
               Math.max(1, deadlineMs - lastProgressMs),
               lastEventId);
-      handle = shared.transport().start(call, this);
-      pacing.begin(handle);
+      handle = context.transport().start(call, this);
+      flowControl.begin(handle);
     }
 
     private boolean isStream() {
       return route.kind() == RouteKind.STREAM;
     }
 
-    private void heard() {
+    private void recordProgress() {
       lastProgressMs = nowMs();
-      use.onHeard(lastProgressMs);
+      tracker.onDataReceived(lastProgressMs);
     }
 
     @Override
-    public void onHead(EngineAnswer head) {
-      if (over) {
+    public void onHead(EngineResponse head) {
+      if (ended) {
         return;
       }
-      heard();
-      long tokensReadPerMs = shared.settings().tokensReadPerMs();
-      long waitMs = use.onFirstBytes(tokensReadPerMs, head.load(), lastProgressMs);
-      shared.silenceLimit().onFirstBytes(waitMs);
-      shared.dispatcher().onFirstBytes(service, use);
-      answer = head;
-      if (answer.isSuccess() && isStream() && !headSent) {
+      recordProgress();
+      long tokensReadPerMs = context.settings().prefillTokensPerMs();
+      long waitMs = tracker.onFirstBytes(tokensReadPerMs, head.load(), lastProgressMs);
+      context.silenceTimeout().onFirstBytes(waitMs);
+      context.dispatcher().onFirstBytes(service, tracker);
+      responseHead = head;
+      if (responseHead.isSuccess() && isStream() && !headSent) {
         headSent = true;
-        firstMs = lastProgressMs - startMs;
+        timeToFirstByteMs = lastProgressMs - startMs;
         exchange.startStream(head.status(), head.headers());
       }
     }
 
     @Override
     public void onBody(byte[] part) {
-      if (over) {
+      if (ended) {
         return;
       }
-      heard();
-      if (!answer.isSuccess() || !isStream()) {
-        if (!collected.add(part)) {
-          stop(MEMORY_SHORT);
+      recordProgress();
+      if (!responseHead.isSuccess() || !isStream()) {
+        if (!bufferedResponse.add(part)) {
+          cancelAndFinish(MEMORY_EXHAUSTED);
         }
         return;
       }
       byte[] events = scanner.feed(part);
       if (events.length > 0) {
         lastEventId = scanner.lastId();
-        use.onEvent(lastEventId, lastProgressMs);
+        tracker.onEvent(lastEventId, lastProgressMs);
         if (!exchange.write(events)) {
           log.callerTooSlow();
-          stop("the caller reads too slowly");
+          cancelAndFinish("the caller reads too slowly");
           return;
         }
-        pacing.update(lastProgressMs);
+        flowControl.update(lastProgressMs);
       }
       if (scanner.problem() != null) {
-        giveUp(scanner.problem());
+        abandon(scanner.problem());
       }
     }
 
     @Override
     public void onEnd() {
-      if (over) {
+      if (ended) {
         return;
       }
       end();
-      if (answer.isSuccess()) {
-        onSuccessEnd();
+      if (responseHead.isSuccess()) {
+        onSuccess();
       } else {
-        onRefusalOrError();
+        onErrorResponse();
       }
     }
 
-    private void onSuccessEnd() {
+    private void onSuccess() {
       if (!isStream()) {
-        firstMs = nowMs() - startMs;
+        timeToFirstByteMs = nowMs() - startMs;
         logServed();
         finishServed();
-        exchange.send(answer.status(), answer.headers(), collected.toByteArray());
-      } else if (scanner.isInsideEvent()) {
+        exchange.send(
+            responseHead.status(), responseHead.headers(), bufferedResponse.toByteArray());
+      } else if (scanner.hasPartialEvent()) {
         engine().onFailure(nowMs());
-        afterFailure(false, "the stream ended inside an event");
+        retryOrFinish(false, "the stream ended inside an event");
       } else {
-        use.onWholeStream(nowMs());
+        tracker.onStreamCompleted(nowMs());
         logServed();
         finishServed();
         exchange.endStream();
@@ -440,30 +442,31 @@
     private void logServed() {
       log.served(
           RequestLog.Served.by(
-              use, routesVersion, waitedMs, firstMs, nowMs() - startMs, lastEventId));
+              tracker, routesVersion, waitedMs, timeToFirstByteMs, nowMs() - startMs, lastEventId));
     }
 
-    private void onRefusalOrError() {
+    private void onErrorResponse() {
       long now = nowMs();
-      if (answer.otherInstance()) {
+      if (responseHead.wrongInstance()) {
         engine().onGone();
-        afterFailure(true, "another engine has the address");
-      } else if (answer.notRun()) {
-        engine().onFull(now, Math.max(answer.retryAfterMs(), 50));
-        afterFailure(true, "the engine refused with " + answer.status());
-      } else if (answer.status() >= SERVER_ERROR && budget.mayTryAgain()) {
-        afterFailure(false, "the engine answered " + answer.status());
+        retryOrFinish(true, "another engine has the address");
+      } else if (responseHead.notRun()) {
+        engine().onFull(now, Math.max(responseHead.retryAfterMs(), 50));
+        retryOrFinish(true, "the engine refused with " + responseHead.status());
+      } else if (responseHead.status() >= SERVER_ERROR && budget.mayRetry()) {
+        retryOrFinish(false, "the engine answered " + responseHead.status());
       } else if (headSent) {
-        finishWithoutEngine("the engine answered " + answer.status());
+        finishUnserved("the engine answered " + responseHead.status());
       } else {
         finish(RequestMetrics.Outcome.FAILED);
-        exchange.send(answer.status(), answer.headers(), collected.toByteArray());
+        exchange.send(
+            responseHead.status(), responseHead.headers(), bufferedResponse.toByteArray());
       }
     }
 
     @Override
     public void onFailure(EngineFailure failure, String reason) {
-      if (over) {
+      if (ended) {
         return;
       }
       end();
@@ -475,25 +478,25 @@
         engine().onFailure(nowMs());
       }
       log.attemptFailed(engine().instance().id(), failure, reason, lastEventId);
-      afterFailure(failure.isNotRun(), reason);
+      retryOrFinish(failure.requestDidNotRun(), reason);
     }
 
-    void giveUp(String reason) {
+    void abandon(String reason) {
       handle.cancel();
       onFailure(EngineFailure.BROKEN, reason);
     }
 
     void cancel() {
-      if (!over) {
+      if (!ended) {
         handle.cancel();
         end();
       }
     }
 
     private void end() {
-      over = true;
-      use.end();
-      shared.dispatcher().onPlaceFreed(service, use);
+      ended = true;
+      tracker.end();
+      context.dispatcher().onSlotFreed(service, tracker);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestLog.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestLog.java
@@ -13,24 +13,24 @@
    * How a request was served.
    *
    * @param engineId the engine that ended the answer
-   * @param believedLoad the engine's load as it was believed at the choice
+   * @param estimatedLoad the engine's load as it was believed at the choice
    * @param loadAgeMs how old that belief was
-   * @param eventMs how long an event takes at the engine, as its streams here showed it
+   * @param msPerEvent how long an event takes at the engine, as its streams here showed it
    * @param waitedMs how long the request waited here for room at engines
    */
   record Served(
       long routesVersion,
       String engineId,
-      double believedLoad,
+      double estimatedLoad,
       long loadAgeMs,
-      double eventMs,
+      double msPerEvent,
       long waitedMs,
-      long firstMs,
+      long timeToFirstByteMs,
       long totalMs,
       long lastEvent) {
     /** Served by the engine of {@code use}. */
     static Served by(
-        EngineUse use,
+        AttemptTracker use,
         long routesVersion,
         long waitedMs,
         long firstMs,
@@ -39,7 +39,7 @@
       return new Served(
           routesVersion,
           use.engine().instance().id(),
-          use.believedLoad(),
+          use.estimatedLoad(),
           use.loadAgeMs(),
           use.engine().pace().msPerEvent(),
           waitedMs,
@@ -71,17 +71,17 @@
         "engine",
         how.engineId(),
         "load",
-        String.format(Locale.ROOT, "%.1f", how.believedLoad()),
+        String.format(Locale.ROOT, "%.1f", how.estimatedLoad()),
         "load_age_ms",
         how.loadAgeMs(),
         "event_ms",
-        String.format(Locale.ROOT, "%.1f", how.eventMs()),
+        String.format(Locale.ROOT, "%.1f", how.msPerEvent()),
         "sends",
         budget.sends(),
         "waited_ms",
         how.waitedMs(),
         "first_ms",
-        how.firstMs(),
+        how.timeToFirstByteMs(),
         "total_ms",
         how.totalMs(),
         "last_event",
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestMetrics.java
@@ -21,26 +21,26 @@
   }
 
   /** One kind of route. */
-  private static final class OfKind {
-    final Map<Outcome, LongAdder> ended = new EnumMap<>(Outcome.class);
-    final LatencyHistogram firstMs = new LatencyHistogram();
+  private static final class KindMetrics {
+    final Map<Outcome, LongAdder> outcomes = new EnumMap<>(Outcome.class);
+    final LatencyHistogram timeToFirstByteMs = new LatencyHistogram();
     final LatencyHistogram totalMs = new LatencyHistogram();
 
-    OfKind() {
+    KindMetrics() {
       for (Outcome outcome : Outcome.values()) {
-        ended.put(outcome, new LongAdder());
+        outcomes.put(outcome, new LongAdder());
       }
     }
   }
 
-  private final Map<RouteKind, OfKind> kinds = new EnumMap<>(RouteKind.class);
+  private final Map<RouteKind, KindMetrics> kinds = new EnumMap<>(RouteKind.class);
   private final LongAdder attempts = new LongAdder();
   private final QueueMetrics queue = new QueueMetrics();
   private final MemoryMetrics memory = new MemoryMetrics();
 
   RequestMetrics() {
     for (RouteKind kind : RouteKind.values()) {
-      kinds.put(kind, new OfKind());
+      kinds.put(kind, new KindMetrics());
     }
   }
 
@@ -60,12 +60,12 @@
 
   void onServed(RouteKind kind, long firstMs, long totalMs) {
     onEnd(kind, Outcome.SERVED);
-    kinds.get(kind).firstMs.record(firstMs);
+    kinds.get(kind).timeToFirstByteMs.record(firstMs);
     kinds.get(kind).totalMs.record(totalMs);
   }
 
   void onEnd(RouteKind kind, Outcome outcome) {
-    kinds.get(kind).ended.get(outcome).increment();
+    kinds.get(kind).outcomes.get(outcome).increment();
   }
 
   void bindTo(MeterRegistry registry) {
@@ -75,18 +75,18 @@
     kinds.forEach((kind, counts) -> bindKind(registry, kind, counts));
   }
 
-  private static void bindKind(MeterRegistry registry, RouteKind kind, OfKind counts) {
-    Tags tags = Tags.of("kind", lower(kind));
-    counts.ended.forEach(
+  private static void bindKind(MeterRegistry registry, RouteKind kind, KindMetrics counts) {
+    Tags tags = Tags.of("kind", lowerCase(kind));
+    counts.outcomes.forEach(
         (outcome, count) ->
             FunctionCounter.builder("pathdeck.requests", count, LongAdder::sum)
-                .tags(tags.and("outcome", lower(outcome)))
+                .tags(tags.and("outcome", lowerCase(outcome)))
                 .register(registry));
-    counts.firstMs.bindTo(registry, "pathdeck.request.first.ms", tags);
+    counts.timeToFirstByteMs.bindTo(registry, "pathdeck.request.first.ms", tags);
     counts.totalMs.bindTo(registry, "pathdeck.request.total.ms", tags);
   }
 
-  private static String lower(Enum<?> value) {
+  private static String lowerCase(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestWork.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestWork.java
@@ -1,6 +1,6 @@
 package io.pathdeck.fleet.gateway;
 
-import io.pathdeck.fleet.adapter.CallerCall;
+import io.pathdeck.fleet.adapter.CallerRequest;
 
 /** How much of an engine a request needs, so that tenants share engines and not mere counts. */
 final class RequestWork {
@@ -8,13 +8,13 @@
   private static final double PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
 
   /** Holds also for a request that states no tokens. */
-  private static final double LEAST_OUTPUT_TOKENS = 10;
+  private static final double MIN_OUTPUT_TOKENS = 10;
 
   private RequestWork() {}
 
   /** In output tokens. */
-  static double of(CallerCall.Request request) {
+  static double of(CallerRequest.Routed request) {
     double promptWork = request.promptTokens() / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
-    return LEAST_OUTPUT_TOKENS + promptWork + request.outputTokens();
+    return MIN_OUTPUT_TOKENS + promptWork + request.outputTokens();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/AnswerPacing.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ResponseFlowControl.java
@@ -7,13 +7,13 @@
  * Reads the stream of one send no faster than the caller takes it, where answers count against a
  * memory budget; confined to the event loop.
  */
-final class AnswerPacing {
+final class ResponseFlowControl {
   private final HttpExchange exchange;
   private final MemoryMetrics metrics;
-  private final ReadPause pause = new ReadPause();
+  private final ReadPause readPause = new ReadPause();
   private EngineTransport.Handle handle;
 
-  AnswerPacing(HttpExchange exchange, MemoryMetrics metrics) {
+  ResponseFlowControl(HttpExchange exchange, MemoryMetrics metrics) {
     this.exchange = exchange;
     this.metrics = metrics;
   }
@@ -25,7 +25,7 @@
 
   /** Whether the caller's slowness holds the answer back, so that silence tells nothing. */
   boolean isPaused() {
-    return pause.isPaused();
+    return readPause.isPaused();
   }
 
   /** Pauses or goes on; returns whether reading has just gone on. */
@@ -33,8 +33,8 @@
     if (!exchange.memory().countsAnswers()) {
       return false;
     }
-    boolean before = pause.isPaused();
-    boolean paused = pause.update(exchange.pendingBytes(), nowMs);
+    boolean before = readPause.isPaused();
+    boolean paused = readPause.update(exchange.pendingBytes(), nowMs);
     if (paused && !before) {
       metrics.onReadPaused();
       handle.pauseReading();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/SilenceLimit.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/SilenceTimeout.java
@@ -9,35 +9,36 @@
  * gave its place in a queue up would only take another one further back, and its prompt would be
  * read twice: sending again would keep the overload up.
  */
-final class SilenceLimit {
+final class SilenceTimeout {
   /** How many usual waits an engine may be silent for: few requests wait four times the mean. */
-  private static final double USUAL_WAITS = 4;
+  private static final double MEAN_WAIT_MULTIPLE = 4;
 
   /** How much a new wait counts: the mean follows some twenty requests. */
-  private static final double NEW_WEIGHT = 0.05;
+  private static final double SMOOTHING_FACTOR = 0.05;
 
   private final ForwardingSettings settings;
-  private double usualWaitMs;
+  private double meanWaitMs;
 
-  SilenceLimit(ForwardingSettings settings) {
+  SilenceTimeout(ForwardingSettings settings) {
     this.settings = settings;
   }
 
   /** A request got its first bytes after {@code waitMs} beyond the reading of its prompt. */
   void onFirstBytes(long waitMs) {
-    usualWaitMs += (waitMs - usualWaitMs) * NEW_WEIGHT;
+    meanWaitMs += (waitMs - meanWaitMs) * SMOOTHING_FACTOR;
   }
 
   /** A request was given up after {@code silentMs}; it would have waited longer. */
-  void onGivenUp(long silentMs) {
-    if (silentMs > usualWaitMs) {
+  void onTimeout(long silentMs) {
+    if (silentMs > meanWaitMs) {
       onFirstBytes(silentMs);
     }
   }
 
   /** The limit for a request with a prompt of so many tokens. */
-  long limitMs(long promptTokens) {
-    long promptMs = promptTokens * settings.silencePerThousandTokensMs() / 1_000;
-    return Math.max(settings.silenceMs(), Math.round(USUAL_WAITS * usualWaitMs)) + promptMs;
+  long timeoutMs(long promptTokens) {
+    long promptMs = promptTokens * settings.silenceTimeoutPerThousandTokensMs() / 1_000;
+    return Math.max(settings.minSilenceTimeoutMs(), Math.round(MEAN_WAIT_MULTIPLE * meanWaitMs))
+        + promptMs;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/StartRefusal.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/StartupRetryDelay.java
@@ -9,26 +9,26 @@
  * it may wait comes back when it likes. All callers of a fleet that starts are refused within a
  * second or two, so their returns are spread.
  */
-final class StartRefusal {
+final class StartupRetryDelay {
   /** How long after its start a gateway has usually heard from the coordinators. */
-  static final long USUAL_START_MS = 1_400;
+  static final long TYPICAL_STARTUP_MS = 1_400;
 
   /** The longest wait of a replica before it campaigns; most elections are over by then. */
-  static final long ELECTION_MS = 1_200;
+  static final long MAX_ELECTION_TIMEOUT_MS = 1_200;
 
   /** A read of the list of engines and two reports of this gateway. */
-  static final long LIST_MS = 200;
+  static final long ENGINE_LIST_MS = 200;
 
   /** The least time to come back while no leader is heard: some heartbeats of a new leader. */
-  static final long MIN_MS = 300;
+  static final long MIN_DELAY_MS = 300;
 
   /** Over how long the returns are spread. */
-  static final long SPREAD_MS = 600;
+  static final long JITTER_MS = 600;
 
   /** Callers wait for a return no longer than this part of the time that they have left. */
-  private static final long USABLE_PART = 3;
+  private static final long DEADLINE_DIVISOR = 3;
 
-  private StartRefusal() {}
+  private StartupRetryDelay() {}
 
   /**
    * The time after which to come back.
@@ -38,9 +38,9 @@
    */
   static long retryAfterMs(StartProgress progress, long deadlineMs, double random) {
     long expectedMs = expectedMs(progress);
-    long latestMs = expectedMs + SPREAD_MS;
+    long latestMs = expectedMs + JITTER_MS;
     if (deadlineMs > 0) {
-      latestMs = Math.min(latestMs, Math.max(1, deadlineMs / USABLE_PART));
+      latestMs = Math.min(latestMs, Math.max(1, deadlineMs / DEADLINE_DIVISOR));
     }
     long earliestMs = Math.min(expectedMs, latestMs - latestMs / 4);
     return earliestMs + Math.round(random * (latestMs - earliestMs));
@@ -48,9 +48,9 @@
 
   private static long expectedMs(StartProgress progress) {
     return switch (progress.phase()) {
-      case NO_COORDINATOR -> Math.max(MIN_MS, USUAL_START_MS - progress.ageMs());
-      case NO_LEADER -> Math.max(MIN_MS, ELECTION_MS - progress.ageMs());
-      case LIST_MISSING -> LIST_MS;
+      case NO_COORDINATOR -> Math.max(MIN_DELAY_MS, TYPICAL_STARTUP_MS - progress.ageMs());
+      case NO_LEADER -> Math.max(MIN_DELAY_MS, MAX_ELECTION_TIMEOUT_MS - progress.ageMs());
+      case LIST_MISSING -> ENGINE_LIST_MS;
     };
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import io.pathdeck.common.result.Result;
-import io.pathdeck.fleet.limit.GatewayAdmissions;
+import io.pathdeck.fleet.limit.AdmissionController;
 import io.pathdeck.fleet.member.GroupCallError;
 import io.pathdeck.fleet.member.GroupClient;
 import io.pathdeck.protocol.fleet.CallerTenant;
@@ -36,16 +36,16 @@
   private final EventLoop eventLoop;
   private final GroupClient coordinators;
   private final String gateway;
-  private final long life;
-  private final GatewayAdmissions admissions;
+  private final long incarnation;
+  private final AdmissionController admissionController;
 
   TenantLimiter(
       EventLoop eventLoop, GroupClient coordinators, String gateway, long life, long windowMs) {
     this.eventLoop = eventLoop;
     this.coordinators = coordinators;
     this.gateway = gateway;
-    this.life = life;
-    this.admissions = new GatewayAdmissions(windowMs, nowMs());
+    this.incarnation = life;
+    this.admissionController = new AdmissionController(windowMs, nowMs());
   }
 
   private static long nowMs() {
@@ -58,7 +58,7 @@
       decided.accept(Outcome.ADMITTED);
       return;
     }
-    switch (admissions.decide(tenant.name(), nowMs())) {
+    switch (admissionController.decide(tenant.name(), nowMs())) {
       case ADMIT -> admitted(tenant.name(), decided);
       case REFUSE -> decided.accept(Outcome.OVER_LIMIT);
       case ASK_LEADER -> askLeader(tenant.name(), decided);
@@ -68,7 +68,7 @@
 
   private void askLeader(String tenant, Consumer<Outcome> decided) {
     coordinators
-        .call(new AdmissionRequest(gateway, life, tenant), ASK_TIMEOUT_MS, ASK_TIMEOUT_MS)
+        .call(new AdmissionRequest(gateway, incarnation, tenant), ASK_TIMEOUT_MS, ASK_TIMEOUT_MS)
         .thenAcceptAsync(answer -> onAnswer(tenant, answer, decided), eventLoop);
   }
 
@@ -76,9 +76,9 @@
       String tenant, Result<Message, GroupCallError> answer, Consumer<Outcome> decided) {
     boolean answered = answer.isOk() && answer.value() instanceof AdmissionReply;
     if (answered && !((AdmissionReply) answer.value()).admitted()) {
-      admissions.onRefused(tenant, nowMs());
+      admissionController.onRefused(tenant, nowMs());
       decided.accept(Outcome.OVER_LIMIT);
-    } else if (answered || admissions.mayAdmitUnanswered(tenant, nowMs())) {
+    } else if (answered || admissionController.mayAdmitWithoutLeader(tenant, nowMs())) {
       admitted(tenant, decided);
     } else {
       decided.accept(Outcome.UNDECIDED);
@@ -86,17 +86,17 @@
   }
 
   private void admitted(String tenant, Consumer<Outcome> decided) {
-    admissions.onAdmitted(tenant, nowMs());
+    admissionController.onAdmitted(tenant, nowMs());
     decided.accept(Outcome.ADMITTED);
   }
 
   /** The leader told which tenants are near their limits. */
-  void onTold(List<String> contended) {
-    admissions.onTold(contended, nowMs());
+  void onContendedTenants(List<String> contended) {
+    admissionController.onContendedTenants(contended, nowMs());
   }
 
   /** What to tell the leader. */
-  List<TenantUse> uses() {
-    return admissions.uses(nowMs());
+  List<TenantUse> tenantUses() {
+    return admissionController.tenantUses(nowMs());
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/GatewayAdmissions.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
@@ -17,7 +17,7 @@
  * no more of a contended tenant than it had in its window when the leader was heard last, so the
  * fleet as a whole stays where it was.
  */
-public final class GatewayAdmissions {
+public final class AdmissionController {
   /** What to do with a request. */
   public enum Decision {
     ADMIT,
@@ -34,62 +34,62 @@
    * How long requests are refused without a question after the leader refused one. A place frees
    * every few ms for a large tenant; a caller that floods costs one question in this time.
    */
-  private static final long REFUSAL_HOLDS_MS = 50;
+  private static final long REFUSAL_TTL_MS = 50;
 
   /**
    * How long after the leader's last word a tenant that was not contended is admitted freely. Later
    * a gateway admits at most twice what it held: the fleet was below half of the limit.
    */
-  private static final long TOLD_HOLDS_MS = 1_000;
+  private static final long LEADER_UPDATE_TTL_MS = 1_000;
 
   /** One tenant at this gateway. */
-  private static final class Tenant {
-    final SlidingCount admitted;
-    int heldWhenToldLast;
+  private static final class TenantState {
+    final SlidingWindowCounter admitted;
+    int admittedAtLastUpdate;
     long refusedUntilMs = Long.MIN_VALUE;
 
-    Tenant(long windowMs) {
-      admitted = new SlidingCount(windowMs);
+    TenantState(long windowMs) {
+      admitted = new SlidingWindowCounter(windowMs);
     }
   }
 
   private final long windowMs;
-  private final Map<String, Tenant> tenants = new HashMap<>();
+  private final Map<String, TenantState> tenants = new HashMap<>();
   private Set<String> contended = Set.of();
-  private long toldMs;
+  private long lastUpdateMs;
 
   /**
    * Creates the admissions of a gateway.
    *
    * @param windowMs the span over which limits hold
    */
-  public GatewayAdmissions(long windowMs, long nowMs) {
+  public AdmissionController(long windowMs, long nowMs) {
     this.windowMs = windowMs;
-    this.toldMs = nowMs;
+    this.lastUpdateMs = nowMs;
   }
 
   /** Decides on a request of a limited tenant. */
   public Decision decide(String tenant, long nowMs) {
     if (!contended.contains(tenant)) {
-      return isFree(tenant, nowMs) ? Decision.ADMIT : Decision.UNDECIDED;
+      return mayAdmitLocally(tenant, nowMs) ? Decision.ADMIT : Decision.UNDECIDED;
     }
-    Tenant known = tenants.get(tenant);
+    TenantState known = tenants.get(tenant);
     boolean justRefused = known != null && nowMs < known.refusedUntilMs;
     return justRefused ? Decision.REFUSE : Decision.ASK_LEADER;
   }
 
-  private boolean isFree(String tenant, long nowMs) {
-    if (nowMs - toldMs <= TOLD_HOLDS_MS) {
+  private boolean mayAdmitLocally(String tenant, long nowMs) {
+    if (nowMs - lastUpdateMs <= LEADER_UPDATE_TTL_MS) {
       return true;
     }
-    Tenant known = tenant(tenant);
-    return known.admitted.total(nowMs) <= 2 * known.heldWhenToldLast;
+    TenantState known = tenant(tenant);
+    return known.admitted.total(nowMs) <= 2 * known.admittedAtLastUpdate;
   }
 
   /** Whether to admit a request about which the leader was asked and did not answer. */
-  public boolean mayAdmitUnanswered(String tenant, long nowMs) {
-    Tenant known = tenant(tenant);
-    return known.admitted.total(nowMs) < known.heldWhenToldLast;
+  public boolean mayAdmitWithoutLeader(String tenant, long nowMs) {
+    TenantState known = tenant(tenant);
+    return known.admitted.total(nowMs) < known.admittedAtLastUpdate;
   }
 
   /** A request was admitted and goes to an engine. */
@@ -99,24 +99,24 @@
 
   /** The leader refused a request. */
   public void onRefused(String tenant, long nowMs) {
-    tenant(tenant).refusedUntilMs = nowMs + REFUSAL_HOLDS_MS;
+    tenant(tenant).refusedUntilMs = nowMs + REFUSAL_TTL_MS;
   }
 
   /** The leader told which tenants are near their limits. */
-  public void onTold(List<String> nearLimit, long nowMs) {
+  public void onContendedTenants(List<String> nearLimit, long nowMs) {
     contended = new HashSet<>(nearLimit);
-    toldMs = nowMs;
-    for (Tenant tenant : tenants.values()) {
-      tenant.heldWhenToldLast = tenant.admitted.total(nowMs);
+    lastUpdateMs = nowMs;
+    for (TenantState tenant : tenants.values()) {
+      tenant.admittedAtLastUpdate = tenant.admitted.total(nowMs);
     }
   }
 
   /** What to tell the leader: the tenants of which something was admitted in the window. */
-  public List<TenantUse> uses(long nowMs) {
+  public List<TenantUse> tenantUses(long nowMs) {
     List<TenantUse> uses = new ArrayList<>();
-    Iterator<Map.Entry<String, Tenant>> entries = tenants.entrySet().iterator();
+    Iterator<Map.Entry<String, TenantState>> entries = tenants.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<String, Tenant> entry = entries.next();
+      Map.Entry<String, TenantState> entry = entries.next();
       int admitted = entry.getValue().admitted.total(nowMs);
       if (admitted > 0) {
         uses.add(new TenantUse(entry.getKey(), admitted));
@@ -127,7 +127,7 @@
     return uses;
   }
 
-  private Tenant tenant(String name) {
-    return tenants.computeIfAbsent(name, added -> new Tenant(windowMs));
+  private TenantState tenant(String name) {
+    return tenants.computeIfAbsent(name, added -> new TenantState(windowMs));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/SlidingCount.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/SlidingWindowCounter.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Counts events in a window of time that ends now, to a resolution of a fiftieth of it. */
-final class SlidingCount {
+final class SlidingWindowCounter {
   private static final int BUCKETS = 50;
 
   private final long bucketMs;
@@ -14,7 +14,7 @@
   private long newestBucket = Long.MIN_VALUE;
   private int total;
 
-  SlidingCount(long windowMs) {
+  SlidingWindowCounter(long windowMs) {
     this.bucketMs = Math.max(1, windowMs / BUCKETS);
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
@@ -22,33 +22,33 @@
    * interval of 300 ms; the other half is room for what they admit until then, at up to six times
    * the rate of the limit for a window of 5 s.
    */
-  private static final double CONTENDED_FROM = 0.5;
+  private static final double CONTENTION_START_SHARE = 0.5;
 
   /** A contended tenant is so until it is below this part, so that it does not flap. */
-  private static final double CONTENDED_UNTIL = 0.3;
+  private static final double CONTENTION_END_SHARE = 0.3;
 
   /**
    * Windows are told up to 300 ms late, so what has left them still counts: 300 ms of a window of 5
    * s are 6 in 100.
    */
-  private static final double STALENESS_ALLOWANCE = 1.05;
+  private static final double STALENESS_FACTOR = 1.05;
 
   /**
    * The same in requests, for tenants of few requests, of which a share is less than one request.
    */
   private static final double STALENESS_ALLOWANCE_REQUESTS = 2;
 
-  private record GatewayLife(String gateway, long life) {}
+  private record GatewayIncarnation(String gateway, long incarnation) {}
 
   /** What is known of one gateway. */
-  private static final class Gateway {
-    long heardMs;
-    Map<String, Integer> told = Map.of();
-    final Map<String, Integer> grantedSince = new HashMap<>();
+  private static final class GatewayState {
+    long lastHeardMs;
+    Map<String, Integer> reported = Map.of();
+    final Map<String, Integer> grantedSinceReport = new HashMap<>();
   }
 
   private final long windowMs;
-  private final Map<GatewayLife, Gateway> gateways = new HashMap<>();
+  private final Map<GatewayIncarnation, GatewayState> gateways = new HashMap<>();
   private final Map<String, Integer> totals = new HashMap<>();
   private final Set<String> contended = new HashSet<>();
 
@@ -69,20 +69,22 @@
   }
 
   /** Takes what a gateway tells of its window. */
-  public void note(String gateway, long life, List<TenantUse> uses, long nowMs) {
-    Gateway known = gateways.computeIfAbsent(new GatewayLife(gateway, life), l -> new Gateway());
+  public void onHeartbeat(String gateway, long life, List<TenantUse> uses, long nowMs) {
+    GatewayState known =
+        gateways.computeIfAbsent(new GatewayIncarnation(gateway, life), l -> new GatewayState());
     subtract(known);
-    known.heardMs = nowMs;
-    known.grantedSince.clear();
+    known.lastHeardMs = nowMs;
+    known.grantedSinceReport.clear();
     Map<String, Integer> told = new HashMap<>();
     uses.forEach(use -> told.put(use.tenant(), use.admitted()));
-    known.told = told;
+    known.reported = told;
     told.forEach((tenant, admitted) -> totals.merge(tenant, admitted, Integer::sum));
   }
 
-  private void subtract(Gateway gateway) {
-    gateway.told.forEach((tenant, admitted) -> totals.merge(tenant, -admitted, Integer::sum));
-    gateway.grantedSince.forEach((tenant, granted) -> totals.merge(tenant, -granted, Integer::sum));
+  private void subtract(GatewayState gateway) {
+    gateway.reported.forEach((tenant, admitted) -> totals.merge(tenant, -admitted, Integer::sum));
+    gateway.grantedSinceReport.forEach(
+        (tenant, granted) -> totals.merge(tenant, -granted, Integer::sum));
   }
 
   /** Forgets gateways whose last window is over. */
@@ -91,7 +93,7 @@
         .values()
         .removeIf(
             gateway -> {
-              boolean over = nowMs - gateway.heardMs > windowMs;
+              boolean over = nowMs - gateway.lastHeardMs > windowMs;
               if (over) {
                 subtract(gateway);
               }
@@ -112,7 +114,8 @@
 
   private boolean updateContention(CallerTenant tenant) {
     boolean was = contended.contains(tenant.name());
-    double from = tenant.maxRequestsIn(windowMs) * (was ? CONTENDED_UNTIL : CONTENDED_FROM);
+    double from =
+        tenant.maxRequestsIn(windowMs) * (was ? CONTENTION_END_SHARE : CONTENTION_START_SHARE);
     boolean is = admitted(tenant.name()) >= from;
     if (is && !was) {
       contended.add(tenant.name());
@@ -124,14 +127,14 @@
 
   /** Admits one request of a tenant at a gateway when that keeps the tenant within its limit. */
   public boolean tryAdmit(String gateway, long life, CallerTenant tenant, long nowMs) {
-    double most =
-        tenant.maxRequestsIn(windowMs) * STALENESS_ALLOWANCE + STALENESS_ALLOWANCE_REQUESTS;
+    double most = tenant.maxRequestsIn(windowMs) * STALENESS_FACTOR + STALENESS_ALLOWANCE_REQUESTS;
     if (admitted(tenant.name()) + 1 > most) {
       return false;
     }
-    Gateway known = gateways.computeIfAbsent(new GatewayLife(gateway, life), l -> new Gateway());
-    known.heardMs = Math.max(known.heardMs, nowMs);
-    known.grantedSince.merge(tenant.name(), 1, Integer::sum);
+    GatewayState known =
+        gateways.computeIfAbsent(new GatewayIncarnation(gateway, life), l -> new GatewayState());
+    known.lastHeardMs = Math.max(known.lastHeardMs, nowMs);
+    known.grantedSinceReport.merge(tenant.name(), 1, Integer::sum);
     totals.merge(tenant.name(), 1, Integer::sum);
     return true;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/load/OwnCalls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/InFlightCalls.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /** Reads this process's own calls under way from its table of engines, and notes its peers'. */
-final class OwnCalls {
-  private OwnCalls() {}
+final class InFlightCalls {
+  private InFlightCalls() {}
 
   /** The engines with calls under way; where they are too many for a datagram, the fullest. */
   static Map<Long, Integer> of(EngineTable engines) {
@@ -25,14 +25,14 @@
     Map<Long, Integer> calls = new HashMap<>();
     told.forEach(
         engine ->
-            calls.put(engine.lifeHash(), Math.min(LoadDatagram.MAX_CALLS, engine.inFlight())));
+            calls.put(engine.instanceHash(), Math.min(LoadDatagram.MAX_CALLS, engine.inFlight())));
     return calls;
   }
 
   /** Notes the peers' calls at each engine. */
-  static void notePeers(EngineTable engines, PeerLoads peers) {
+  static void applyPeerCalls(EngineTable engines, PeerLoads peers) {
     for (EngineState engine : engines.all()) {
-      engine.onPeerCalls(peers.callsAt(engine.lifeHash()));
+      engine.onPeerCalls(peers.callsAt(engine.instanceHash()));
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
@@ -10,17 +10,18 @@
  * nothing once the next has come.
  *
  * @param sender a hash of the process's name
- * @param life tells the lives of that process apart
+ * @param incarnation tells the lives of that process apart
  * @param sequence grows with each datagram of a life
- * @param holdMs how long the counts hold when no newer datagram comes
+ * @param ttlMs how long the counts hold when no newer datagram comes
  * @param calls the calls under way by the hash of the engine's life; only engines that have some
  */
-record LoadDatagram(long sender, long life, long sequence, int holdMs, Map<Long, Integer> calls) {
+record LoadDatagram(
+    long sender, long incarnation, long sequence, int ttlMs, Map<Long, Integer> calls) {
   /** The most engines that a datagram tells of, so that it fits a packet of any usual network. */
   static final int MAX_ENGINES = 100;
 
   /** The longest time for which a receiver keeps the counts of a silent peer. */
-  static final int MAX_HOLD_MS = 5_000;
+  static final int MAX_TTL_MS = 5_000;
 
   static final int MAX_CALLS = 0xFFFF;
   private static final int HEADER_BYTES = 30;
@@ -44,9 +45,9 @@
     bytes.put(VERSION);
     bytes.put((byte) calls.size());
     bytes.putLong(sender);
-    bytes.putLong(life);
+    bytes.putLong(incarnation);
     bytes.putLong(sequence);
-    bytes.putShort((short) holdMs);
+    bytes.putShort((short) ttlMs);
     calls.forEach((engine, count) -> bytes.putLong(engine).putShort(count.shortValue()));
     return bytes.array();
   }
@@ -63,7 +64,7 @@
     long life = bytes.getLong();
     long sequence = bytes.getLong();
     int holdMs = Short.toUnsignedInt(bytes.getShort());
-    boolean bounded = engines <= MAX_ENGINES && holdMs <= MAX_HOLD_MS;
+    boolean bounded = engines <= MAX_ENGINES && holdMs <= MAX_TTL_MS;
     if (!bounded || bytes.remaining() != engines * ENTRY_BYTES) {
       return Optional.empty();
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadExchange.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadExchange.java
@@ -36,42 +36,46 @@
  */
 public final class LoadExchange implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(LoadExchange.class);
-  private static final long OPEN_RETRY_MS = 5_000;
+  private static final long BIND_RETRY_MS = 5_000;
 
   /**
    * Who takes part.
    *
-   * @param life tells the lives of the process apart
+   * @param incarnation tells the lives of the process apart
    * @param listen where its datagrams arrive
    */
-  public record Self(String name, long life, String zone, HostPort listen) {}
+  public record Self(String name, long incarnation, String zone, HostPort listen) {}
 
   private final EventLoop eventLoop;
   private final Self self;
   private final EngineTable engines;
   private final LoadMetrics metrics;
-  private final boolean always;
+  private final boolean alwaysEnabled;
   private final PeerLoads peers = new PeerLoads();
-  private final SendPace pace = new SendPace();
-  private Map<Long, InetSocketAddress> receivers = Map.of();
+  private final SendSchedule schedule = new SendSchedule();
+  private Map<Long, InetSocketAddress> readyPeers = Map.of();
   private volatile Channel channel;
   private long sequence;
-  private long nextOpenMs = Long.MIN_VALUE;
-  private boolean failureTold;
+  private long nextBindMs = Long.MIN_VALUE;
+  private boolean failureLogged;
   private boolean closed;
 
   /**
    * Creates an exchange without a socket.
    *
-   * @param always whether counts are shared also when no engine tells its pace
+   * @param alwaysEnabled whether counts are shared also when no engine tells its pace
    */
   public LoadExchange(
-      EventLoop eventLoop, Self self, EngineTable engines, LoadMetrics metrics, boolean always) {
+      EventLoop eventLoop,
+      Self self,
+      EngineTable engines,
+      LoadMetrics metrics,
+      boolean alwaysEnabled) {
     this.eventLoop = eventLoop;
     this.self = self;
     this.engines = engines;
     this.metrics = metrics;
-    this.always = always;
+    this.alwaysEnabled = alwaysEnabled;
   }
 
   private static long nowMs() {
@@ -90,12 +94,12 @@
   /** Begins when engines share their machines, as far as they tell, or the settings ask for it. */
   public void openIfNeeded() {
     boolean open = channel != null || closed;
-    if (open || !(always || engines.anyTellsPace())) {
+    if (open || !(alwaysEnabled || engines.anyReportsPace())) {
       return;
     }
     long nowMs = nowMs();
-    if (nowMs >= nextOpenMs) {
-      nextOpenMs = nowMs + OPEN_RETRY_MS;
+    if (nowMs >= nextBindMs) {
+      nextBindMs = nowMs + BIND_RETRY_MS;
       bind();
     }
   }
@@ -105,7 +109,7 @@
         new Bootstrap()
             .group(eventLoop)
             .channelFactory(() -> new NioDatagramChannel(SocketProtocolFamily.INET))
-            .handler(new Receiver());
+            .handler(new DatagramHandler());
     bootstrap
         .bind(self.listen().toSocketAddress())
         .addListener((ChannelFuture bound) -> onBound(bound));
@@ -113,21 +117,21 @@
 
   private void onBound(ChannelFuture bound) {
     if (!bound.isSuccess()) {
-      tellFailure(bound.cause());
+      logFailure(bound.cause());
     } else if (closed) {
       bound.channel().close();
     } else {
       channel = bound.channel();
-      failureTold = false;
+      failureLogged = false;
       EVENTS.log(EventCode.LOAD_SHARING_STARTED, "listen", self.listen());
       tick();
     }
   }
 
   /** One line for a run of failures: requests are served without the peers' counts. */
-  private void tellFailure(Throwable cause) {
-    if (!failureTold) {
-      failureTold = true;
+  private void logFailure(Throwable cause) {
+    if (!failureLogged) {
+      failureLogged = true;
       EVENTS.log(EventCode.LOAD_SHARING_FAILED, "listen", self.listen(), "reason", cause);
     }
   }
@@ -148,8 +152,8 @@
         reachable.put(sender, address.get().toSocketAddress());
       }
     }
-    peers.setKnown(known);
-    receivers = Map.copyOf(reachable);
+    peers.setKnownPeers(known);
+    readyPeers = Map.copyOf(reachable);
   }
 
   private void tick() {
@@ -157,13 +161,13 @@
       return;
     }
     long nowMs = nowMs();
-    Set<Long> active = peers.active(nowMs);
+    Set<Long> active = peers.activePeers(nowMs);
     peers.expire(nowMs);
-    OwnCalls.notePeers(engines, peers);
-    Map<Long, Integer> calls = OwnCalls.of(engines);
-    tell(pace.onInterval(calls, active.size(), nowMs), calls, active);
+    InFlightCalls.applyPeerCalls(engines, peers);
+    Map<Long, Integer> calls = InFlightCalls.of(engines);
+    broadcast(schedule.onInterval(calls, active.size(), nowMs), calls, active);
     boolean idle = calls.isEmpty() && active.isEmpty();
-    long waitMs = idle ? SendPace.IDLE_INTERVAL_MS : SendPace.intervalMs(active.size());
+    long waitMs = idle ? SendSchedule.IDLE_INTERVAL_MS : SendSchedule.intervalMs(active.size());
     eventLoop.schedule(this::tick, waitMs, TimeUnit.MILLISECONDS);
   }
 
@@ -173,21 +177,21 @@
       return;
     }
     long nowMs = nowMs();
-    Set<Long> active = peers.active(nowMs);
-    Map<Long, Integer> calls = OwnCalls.of(engines);
-    tell(pace.onStart(calls, active.size(), nowMs), calls, active);
+    Set<Long> active = peers.activePeers(nowMs);
+    Map<Long, Integer> calls = InFlightCalls.of(engines);
+    broadcast(schedule.onCallStart(calls, active.size(), nowMs), calls, active);
   }
 
-  private void tell(SendPace.Receivers whom, Map<Long, Integer> calls, Set<Long> active) {
-    if (whom == SendPace.Receivers.NONE) {
+  private void broadcast(SendSchedule.Recipients whom, Map<Long, Integer> calls, Set<Long> active) {
+    if (whom == SendSchedule.Recipients.NONE) {
       return;
     }
-    int holdMs = SendPace.holdMs(active.size());
+    int holdMs = SendSchedule.ttlMs(active.size());
     byte[] bytes =
-        new LoadDatagram(hash(self.name()), self.life(), ++sequence, holdMs, calls).encode();
-    receivers.forEach(
+        new LoadDatagram(hash(self.name()), self.incarnation(), ++sequence, holdMs, calls).encode();
+    readyPeers.forEach(
         (peer, address) -> {
-          if (whom == SendPace.Receivers.ALL || active.contains(peer)) {
+          if (whom == SendSchedule.Recipients.ALL || active.contains(peer)) {
             send(bytes, address);
           }
         });
@@ -228,7 +232,7 @@
   }
 
   /** Takes the peers' datagrams. */
-  private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
+  private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
       Optional<LoadDatagram> datagram = LoadDatagram.decode(packet.content().nioBuffer());
@@ -241,13 +245,13 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-      OwnCalls.notePeers(engines, peers);
+      InFlightCalls.applyPeerCalls(engines, peers);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       metrics.onDropped();
-      tellFailure(cause);
+      logFailure(cause);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
@@ -16,36 +16,37 @@
   static final long ACTIVE_MS = 3_000;
 
   /** The newest datagram of a peer. */
-  private static final class Told {
+  private static final class Received {
     final LoadDatagram datagram;
-    final long atMs;
+    final long receivedMs;
     boolean counted = true;
 
-    Told(LoadDatagram datagram, long atMs) {
+    Received(LoadDatagram datagram, long atMs) {
       this.datagram = datagram;
-      this.atMs = atMs;
+      this.receivedMs = atMs;
     }
 
-    boolean isOver(long nowMs) {
-      return nowMs - atMs >= datagram.holdMs();
+    boolean isExpired(long nowMs) {
+      return nowMs - receivedMs >= datagram.ttlMs();
     }
 
-    boolean overtakes(LoadDatagram other) {
-      return datagram.life() == other.life() && datagram.sequence() >= other.sequence();
+    boolean supersedes(LoadDatagram other) {
+      return datagram.incarnation() == other.incarnation()
+          && datagram.sequence() >= other.sequence();
     }
   }
 
-  private final Map<Long, Told> newest = new HashMap<>();
-  private final Map<Long, Integer> sums = new HashMap<>();
-  private Set<Long> known = Set.of();
+  private final Map<Long, Received> newest = new HashMap<>();
+  private final Map<Long, Integer> totals = new HashMap<>();
+  private Set<Long> knownPeers = Set.of();
 
   /** Only these senders count from now on, which also bounds what is kept. */
-  void setKnown(Set<Long> senders) {
-    known = Set.copyOf(senders);
+  void setKnownPeers(Set<Long> senders) {
+    knownPeers = Set.copyOf(senders);
     newest.entrySet().stream()
-        .filter(entry -> !known.contains(entry.getKey()))
-        .forEach(entry -> uncount(entry.getValue()));
-    newest.keySet().retainAll(known);
+        .filter(entry -> !knownPeers.contains(entry.getKey()))
+        .forEach(entry -> subtractCalls(entry.getValue()));
+    newest.keySet().retainAll(knownPeers);
   }
 
   /**
@@ -54,29 +55,29 @@
    * life's next one.
    */
   boolean accept(LoadDatagram datagram, long nowMs) {
-    Told held = newest.get(datagram.sender());
-    boolean overtaken = held != null && held.overtakes(datagram);
-    if (overtaken || !known.contains(datagram.sender())) {
+    Received held = newest.get(datagram.sender());
+    boolean overtaken = held != null && held.supersedes(datagram);
+    if (overtaken || !knownPeers.contains(datagram.sender())) {
       return false;
     }
     if (held != null) {
-      uncount(held);
+      subtractCalls(held);
     }
-    newest.put(datagram.sender(), new Told(datagram, nowMs));
-    datagram.calls().forEach((engine, count) -> sums.merge(engine, count, Integer::sum));
+    newest.put(datagram.sender(), new Received(datagram, nowMs));
+    datagram.calls().forEach((engine, count) -> totals.merge(engine, count, Integer::sum));
     return true;
   }
 
   /** Forgets the counts that no longer hold. */
   void expire(long nowMs) {
-    for (Told told : newest.values()) {
-      if (told.isOver(nowMs)) {
-        uncount(told);
+    for (Received told : newest.values()) {
+      if (told.isExpired(nowMs)) {
+        subtractCalls(told);
       }
     }
   }
 
-  private void uncount(Told told) {
+  private void subtractCalls(Received told) {
     if (told.counted) {
       told.counted = false;
       told.datagram.calls().forEach(this::subtract);
@@ -84,20 +85,20 @@
   }
 
   private void subtract(long engine, int count) {
-    sums.computeIfPresent(engine, (hash, sum) -> sum == count ? null : sum - count);
+    totals.computeIfPresent(engine, (hash, sum) -> sum == count ? null : sum - count);
   }
 
   /** The peers' calls under way at the life of an engine with this hash. */
   int callsAt(long engine) {
-    return sums.getOrDefault(engine, 0);
+    return totals.getOrDefault(engine, 0);
   }
 
   /** The peers that have sent of late. */
-  Set<Long> active(long nowMs) {
+  Set<Long> activePeers(long nowMs) {
     Set<Long> active = new HashSet<>();
     newest.forEach(
         (sender, told) -> {
-          if (nowMs - told.atMs < ACTIVE_MS) {
+          if (nowMs - told.receivedMs < ACTIVE_MS) {
             active.add(sender);
           }
         });
--- a/fleet/src/main/java/io/pathdeck/fleet/load/SendPace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/SendSchedule.java
@@ -11,7 +11,7 @@
  * active peers together send a process about {@value #MAX_RECEIVED_PER_S} datagrams a second,
  * however many they are.
  */
-final class SendPace {
+final class SendSchedule {
   static final long MIN_INTERVAL_MS = 50;
 
   /** How often unchanged counts are told again, so that a peer's silence means something. */
@@ -31,26 +31,26 @@
   private static final int UNCHANGED_INTERVALS = 2;
 
   /** Whom a datagram goes to. */
-  enum Receivers {
+  enum Recipients {
     NONE,
     ACTIVE,
     ALL
   }
 
-  private Map<Long, Integer> lastCalls = Map.of();
+  private Map<Long, Integer> lastSentCalls = Map.of();
   private long lastSendMs = Long.MIN_VALUE / 2;
   private long lastHelloMs = Long.MIN_VALUE / 2;
-  private double budget = BURST;
-  private long budgetAtMs;
+  private double tokens = BURST;
+  private long lastRefillMs;
 
   /** The time in which the budget of a process with {@code activePeers} allows one datagram. */
-  private static double budgetMs(int activePeers) {
+  private static double msPerToken(int activePeers) {
     return Math.max(1, activePeers) * MILLIS_PER_SECOND / MAX_RECEIVED_PER_S;
   }
 
   /** The time between two looks at calls that ended or that the budget held back. */
   static long intervalMs(int activePeers) {
-    return Math.max(MIN_INTERVAL_MS, Math.round(budgetMs(activePeers)));
+    return Math.max(MIN_INTERVAL_MS, Math.round(msPerToken(activePeers)));
   }
 
   private static long refreshMs(int activePeers) {
@@ -59,40 +59,40 @@
   }
 
   /** How long counts hold: two datagrams in a row may be lost, and the third be on its way. */
-  static int holdMs(int activePeers) {
+  static int ttlMs(int activePeers) {
     long holdMs = 2 * refreshMs(activePeers) + intervalMs(activePeers);
-    return (int) Math.min(LoadDatagram.MAX_HOLD_MS, holdMs);
+    return (int) Math.min(LoadDatagram.MAX_TTL_MS, holdMs);
   }
 
   /** Whom to tell {@code calls} when one has just begun; what it says is taken as done. */
-  Receivers onStart(Map<Long, Integer> calls, int activePeers, long nowMs) {
+  Recipients onCallStart(Map<Long, Integer> calls, int activePeers, long nowMs) {
     refill(activePeers, nowMs);
-    return budget >= 1 ? send(calls, nowMs) : Receivers.NONE;
+    return tokens >= 1 ? recordSend(calls, nowMs) : Recipients.NONE;
   }
 
   /** Whom to tell {@code calls}, asked at each interval; what it says is taken as done. */
-  Receivers onInterval(Map<Long, Integer> calls, int activePeers, long nowMs) {
+  Recipients onInterval(Map<Long, Integer> calls, int activePeers, long nowMs) {
     refill(activePeers, nowMs);
     long sinceMs = nowMs - lastSendMs;
-    boolean changed = !calls.equals(lastCalls) && sinceMs >= intervalMs(activePeers);
+    boolean changed = !calls.equals(lastSentCalls) && sinceMs >= intervalMs(activePeers);
     boolean refresh = !calls.isEmpty() && sinceMs >= refreshMs(activePeers);
-    return changed || refresh ? send(calls, nowMs) : Receivers.NONE;
+    return changed || refresh ? recordSend(calls, nowMs) : Recipients.NONE;
   }
 
   private void refill(int activePeers, long nowMs) {
-    double earned = (nowMs - budgetAtMs) / budgetMs(activePeers);
-    budget = Math.min(BURST, budget + earned);
-    budgetAtMs = nowMs;
+    double earned = (nowMs - lastRefillMs) / msPerToken(activePeers);
+    tokens = Math.min(BURST, tokens + earned);
+    lastRefillMs = nowMs;
   }
 
-  private Receivers send(Map<Long, Integer> calls, long nowMs) {
-    budget = Math.max(0, budget - 1);
-    lastCalls = Map.copyOf(calls);
+  private Recipients recordSend(Map<Long, Integer> calls, long nowMs) {
+    tokens = Math.max(0, tokens - 1);
+    lastSentCalls = Map.copyOf(calls);
     lastSendMs = nowMs;
     if (nowMs - lastHelloMs < HELLO_INTERVAL_MS) {
-      return Receivers.ACTIVE;
+      return Recipients.ACTIVE;
     }
     lastHelloMs = nowMs;
-    return Receivers.ALL;
+    return Recipients.ALL;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/CandidateOrder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/CandidateOrder.java
@@ -22,7 +22,7 @@
   }
 
   /** An order whose beginning follows from the name of the process that asks. */
-  static CandidateOrder of(String process) {
+  static CandidateOrder forProcess(String process) {
     return new CandidateOrder(process.hashCode());
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/member/CoordinatorContacts.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/CoordinatorContacts.java
@@ -22,7 +22,7 @@
   /** Contacts of a process with these settings. */
   public CoordinatorContacts(FleetSettings settings, PeerPool pool, EventLoopGroup eventLoops) {
     this.seeds = settings.seedAddresses();
-    CandidateOrder order = CandidateOrder.of(settings.name());
+    CandidateOrder order = CandidateOrder.forProcess(settings.name());
     this.client = new GroupClient(pool, RetryTimer.on(eventLoops), this::addresses, order);
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
@@ -51,7 +51,7 @@
   private final EventLoop eventLoop;
   private final GroupClient coordinators;
   private final Supplier<SelfReport> self;
-  private final Section<FleetView> view = new Section<>(FleetView.UNKNOWN);
+  private final Section<FleetView> view = new Section<>(FleetView.EMPTY);
   private final Map<String, EngineInstance> engines = new HashMap<>();
   private final Map<String, FleetProcess> processes = new HashMap<>();
   private Consumer<FleetView> listener = changed -> {};
@@ -63,8 +63,8 @@
   private long processEpoch = FleetUpdate.NO_LEADERS_EPOCH;
   private long processSequence;
   private final ViewFreshness freshness = new ViewFreshness(processStartNs());
-  private final long beganNs = System.nanoTime();
-  private final ReportInterval interval = new ReportInterval(beganNs);
+  private final long createdNs = System.nanoTime();
+  private final ReportInterval reportInterval = new ReportInterval(createdNs);
   private boolean connected;
   private boolean closed;
 
@@ -112,7 +112,7 @@
 
   /** How far this process has come in learning the fleet. Thread-safe. */
   public StartProgress startProgress() {
-    return freshness.startProgress(beganNs, System.nanoTime());
+    return freshness.startProgress(createdNs, System.nanoTime());
   }
 
   /** Calls {@code listener} on the event loop after each change; to be set before the start. */
@@ -159,7 +159,7 @@
   private long intervalMs() {
     boolean leadersEngines = engineEpoch != FleetUpdate.NO_LEADERS_EPOCH;
     boolean followsLeader = leadersEngines && view().isComplete();
-    return interval.intervalMs(followsLeader, System.nanoTime());
+    return reportInterval.intervalMs(followsLeader, System.nanoTime());
   }
 
   private java.util.concurrent.CompletableFuture<Void> send() {
@@ -192,14 +192,14 @@
       EVENTS.log(code, "detail", detail);
     }
     if (answered) {
-      interval.onAnswered(System.nanoTime());
+      reportInterval.onAnswered(System.nanoTime());
       FleetUpdate update = (FleetUpdate) result.value();
       if (update.isLastKnown()) {
         onLastKnown(update);
       } else {
         freshness.onLeaderAnswered(sentNs);
         contentionListener.accept(update.contendedTenants());
-        accept(update);
+        applyUpdate(update);
       }
     }
   }
@@ -209,11 +209,11 @@
    * others know, so another one is asked next.
    */
   private void onLastKnown(FleetUpdate told) {
-    coordinators.askAnotherNext();
-    freshness.onLastKnownTold(System.nanoTime());
+    coordinators.tryNextCandidate();
+    freshness.onLastKnownReceived(System.nanoTime());
     boolean newer = told.routes() != null && isNewer(told.routes());
-    if (newer && !freshness.isLeaderHeard()) {
-      accept(told);
+    if (newer && !freshness.hasLeaderAnswered()) {
+      applyUpdate(told);
     }
   }
 
@@ -221,12 +221,12 @@
     return result.isOk() ? "unexpected answer" : result.error().reason();
   }
 
-  private void accept(FleetUpdate update) {
+  private void applyUpdate(FleetUpdate update) {
     boolean newRoutes = update.routes() != null && isNewer(update.routes());
     RouteTable routes = newRoutes ? update.routes() : view().routes();
     boolean changed = newRoutes;
-    changed |= acceptEngines(update.engines());
-    changed |= acceptProcesses(update.processes());
+    changed |= applyEngines(update.engines());
+    changed |= applyProcesses(update.processes());
     FleetView before = view();
     FleetView next =
         new FleetView(
@@ -237,7 +237,7 @@
             update.jobsGroups(),
             update.assignedGroup(),
             update.leavingMembers(),
-            quarantineAfter(update));
+            mergeQuarantine(update));
     if (!changed && next.equals(before)) {
       return;
     }
@@ -250,7 +250,7 @@
   }
 
   /** Coordinators that restarted may each have kept another list; the newest one counts. */
-  private QuarantineList quarantineAfter(FleetUpdate update) {
+  private QuarantineList mergeQuarantine(FleetUpdate update) {
     QuarantineList held = view().quarantine();
     QuarantineList told = update.quarantine();
     boolean older = told == null || (update.isLastKnown() && told.version() <= held.version());
@@ -262,7 +262,7 @@
     return held == null || routes.version() > held.version();
   }
 
-  private boolean acceptEngines(EngineListDelta delta) {
+  private boolean applyEngines(EngineListDelta delta) {
     if (delta == null) {
       return false;
     }
@@ -281,7 +281,7 @@
     return changed;
   }
 
-  private boolean acceptProcesses(ProcessListDelta delta) {
+  private boolean applyProcesses(ProcessListDelta delta) {
     if (delta == null) {
       return false;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
@@ -37,7 +37,7 @@
     List<Integer> leavingMembers,
     QuarantineList quarantine) {
   /** Nothing is known. */
-  public static final FleetView UNKNOWN =
+  public static final FleetView EMPTY =
       new FleetView(
           null,
           null,
--- a/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
@@ -61,7 +61,7 @@
   }
 
   /** Lets the next message go to another candidate, after an answer that came from no leader. */
-  void askAnotherNext() {
+  void tryNextCandidate() {
     leaderAddress = "";
     order.advance();
   }
@@ -74,7 +74,7 @@
     return order.current(List.copyOf(candidates.get()));
   }
 
-  private void abandon(String target) {
+  private void onTargetFailed(String target) {
     if (target.equals(leaderAddress)) {
       leaderAddress = "";
     }
@@ -110,7 +110,7 @@
       String target = target();
       Optional<PeerClient> client = pool.client(target);
       if (client.isEmpty()) {
-        abandon(target);
+        onTargetFailed(target);
         retry();
         return;
       }
@@ -124,14 +124,14 @@
       if (!result.isOk()) {
         lastReason = target + ": " + result.error();
         mayHaveRun |= result.error().mayHaveRun();
-        abandon(target);
+        onTargetFailed(target);
         retry();
         return;
       }
       Message reply = result.value();
       if (reply instanceof NotLeader notLeader) {
         lastReason = target + ": not the leader";
-        follow(target, notLeader);
+        followRedirect(target, notLeader);
       } else if (reply instanceof Unavailable unavailable) {
         lastReason = target + ": " + unavailable.reason();
         mayHaveRun |= unavailable.mayHaveRun();
@@ -142,10 +142,10 @@
       }
     }
 
-    private void follow(String target, NotLeader notLeader) {
+    private void followRedirect(String target, NotLeader notLeader) {
       String leader = notLeader.leaderAddress();
       if (leader.isEmpty() || leader.equals(target)) {
-        abandon(target);
+        onTargetFailed(target);
         retry();
         return;
       }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/JobsPlacement.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/JobsPlacement.java
@@ -15,11 +15,11 @@
    * @param groups the number of groups, at least one
    */
   public static int groupOf(String jobId, int groups) {
-    return 1 + Math.floorMod(mixed(jobId.hashCode()), groups);
+    return 1 + Math.floorMod(mixBits(jobId.hashCode()), groups);
   }
 
   /** Spreads hash codes whose low bits are alike (the finalizer of MurmurHash3). */
-  private static int mixed(int hash) {
+  private static int mixBits(int hash) {
     int mixed = hash ^ (hash >>> 16);
     mixed *= 0x85ebca6b;
     mixed ^= mixed >>> 13;
--- a/fleet/src/main/java/io/pathdeck/fleet/member/ReportInterval.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/ReportInterval.java
@@ -12,17 +12,17 @@
  */
 final class ReportInterval {
   /** The interval of a process that follows a leader, and of one that has waited for long. */
-  static final long USUAL_MS = 300;
+  static final long NORMAL_INTERVAL_MS = 300;
 
   /** Some round trips of 2 to 6 ms, and a quarter of a usual objective of callers of 300 ms. */
-  static final long WAITING_MS = 80;
+  static final long FAST_INTERVAL_MS = 80;
 
   /** Some elections of up to 1,200 ms each, and a read of the list of engines. */
-  static final long WAITING_FOR_MS = 5_000;
+  static final long FAST_PERIOD_MS = 5_000;
 
   private final long startNs;
   private boolean everAnswered;
-  private long answeredFirstNs;
+  private long firstAnsweredNs;
 
   /** Begins with a process that knows nothing. */
   ReportInterval(long startNs) {
@@ -33,14 +33,14 @@
   void onAnswered(long nowNs) {
     if (!everAnswered) {
       everAnswered = true;
-      answeredFirstNs = nowNs;
+      firstAnsweredNs = nowNs;
     }
   }
 
   /** The time until the next report; {@code followsLeader} when a leader's lists are known. */
   long intervalMs(boolean followsLeader, long nowNs) {
-    long sinceNs = everAnswered ? answeredFirstNs : startNs;
-    boolean soon = nowNs - sinceNs < TimeUnit.MILLISECONDS.toNanos(WAITING_FOR_MS);
-    return !followsLeader && soon ? WAITING_MS : USUAL_MS;
+    long sinceNs = everAnswered ? firstAnsweredNs : startNs;
+    boolean soon = nowNs - sinceNs < TimeUnit.MILLISECONDS.toNanos(FAST_PERIOD_MS);
+    return !followsLeader && soon ? FAST_INTERVAL_MS : NORMAL_INTERVAL_MS;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/FleetMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/FleetMetrics.java
@@ -42,25 +42,25 @@
 
   /** Publishes the state of a process's replicated group. */
   public static void bindGroup(MeterRegistry registry, Supplier<ControllerStatus> status) {
-    group(
+    registerGroupGauge(
         registry,
         status,
         "pathdeck.group.leads",
         view -> view.role() == ReplicaRole.LEADER ? 1 : 0);
-    group(registry, status, "pathdeck.group.term", GroupView::term);
-    group(registry, status, "pathdeck.group.commit.index", GroupView::commitIndex);
-    group(registry, status, "pathdeck.group.applied.index", GroupView::appliedIndex);
-    group(registry, status, "pathdeck.group.members", view -> view.members().size());
-    group(
+    registerGroupGauge(registry, status, "pathdeck.group.term", GroupView::term);
+    registerGroupGauge(registry, status, "pathdeck.group.commit.index", GroupView::commitIndex);
+    registerGroupGauge(registry, status, "pathdeck.group.applied.index", GroupView::appliedIndex);
+    registerGroupGauge(registry, status, "pathdeck.group.members", view -> view.members().size());
+    registerGroupGauge(
         registry,
         status,
         "pathdeck.group.entries.sent.bytes",
         view -> view.replication().entryBytesSent());
-    group(
+    registerGroupGauge(
         registry,
         status,
         "pathdeck.group.entries.sent.again.bytes",
-        view -> view.replication().entryBytesSentAgain());
+        view -> view.replication().entryBytesResent());
   }
 
   /** Publishes how many messages to other processes were dropped. */
@@ -69,7 +69,7 @@
         .register(registry);
   }
 
-  private static void group(
+  private static void registerGroupGauge(
       MeterRegistry registry,
       Supplier<ControllerStatus> status,
       String name,
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineEndLedger.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
@@ -18,16 +18,16 @@
  * told.
  *
  * <p>Many requests are under way when an engine ends, and one of them at most is the cause. A
- * request is held to be the cause when {@value #SUFFICIENT_ENDS} lives of engines ended under it
+ * request is held to be the cause when {@value #SUFFICIENT_CRASHES} lives of engines ended under it
  * that no other cause explains. The request under which most have ended is found first, and the
  * ends under it then count against no other: so requests that were beside it again and again stay
  * clear, and one that was held to be a cause by mistake is none any more when more is known. An end
  * counts half for a request that the engine had begun to answer, since a request that ends engines
  * when they begin to run it gets no answer. A request that was served to its end is cleared.
  */
-public final class EngineEndLedger {
+public final class CrashCauseDetector {
   /** Engines of a fleet end one by one for other reasons too; three under one request seldom do. */
-  static final int SUFFICIENT_ENDS = 3;
+  static final int SUFFICIENT_CRASHES = 3;
 
   private static final double ANSWER_BEGAN_WEIGHT = 0.5;
 
@@ -38,18 +38,19 @@
   private static final int MAX_REQUESTS = 2_048;
 
   /** One end, as it counts against a request. */
-  private record Noted(double weight, long atMs) {}
+  private record Evidence(double weight, long atMs) {}
 
-  private final Map<RequestFingerprint, Map<String, Noted>> endsByRequest = new LinkedHashMap<>();
+  private final Map<RequestFingerprint, Map<String, Evidence>> crashesByRequest =
+      new LinkedHashMap<>();
 
   /** Notes an end; the same one may be told again. */
-  public void note(EngineEnd end, long nowMs) {
+  public void add(EngineEnd end, long nowMs) {
     double weight = end.answerBegan() ? ANSWER_BEGAN_WEIGHT : 1;
-    endsByRequest
+    crashesByRequest
         .computeIfAbsent(end.request(), key -> new HashMap<>())
-        .putIfAbsent(end.engine(), new Noted(weight, nowMs));
-    if (endsByRequest.size() > MAX_REQUESTS) {
-      Iterator<RequestFingerprint> oldest = endsByRequest.keySet().iterator();
+        .putIfAbsent(end.engine(), new Evidence(weight, nowMs));
+    if (crashesByRequest.size() > MAX_REQUESTS) {
+      Iterator<RequestFingerprint> oldest = crashesByRequest.keySet().iterator();
       oldest.next();
       oldest.remove();
     }
@@ -57,36 +58,36 @@
 
   /** A request was served to its end. */
   public void clear(RequestFingerprint request) {
-    endsByRequest.remove(request);
+    crashesByRequest.remove(request);
   }
 
   /** Forgets everything. */
   public void clear() {
-    endsByRequest.clear();
+    crashesByRequest.clear();
   }
 
   /** Forgets what is too old to count. */
   public void expire(long nowMs) {
-    endsByRequest.values().forEach(ends -> ends.values().removeIf(end -> isOld(end, nowMs)));
-    endsByRequest.values().removeIf(Map::isEmpty);
+    crashesByRequest.values().forEach(ends -> ends.values().removeIf(end -> isOld(end, nowMs)));
+    crashesByRequest.values().removeIf(Map::isEmpty);
   }
 
-  private static boolean isOld(Noted end, long nowMs) {
+  private static boolean isOld(Evidence end, long nowMs) {
     return nowMs - end.atMs() > WINDOW_MS;
   }
 
   /** Whether an engine has ended under a request of this outline of late. */
-  boolean mayKnow(int outline) {
-    return endsByRequest.keySet().stream().anyMatch(request -> request.outline() == outline);
+  boolean mayContain(int outline) {
+    return crashesByRequest.keySet().stream().anyMatch(request -> request.outline() == outline);
   }
 
   /** Whether an engine has ended under this request of late. */
-  boolean knows(RequestFingerprint request) {
-    return endsByRequest.containsKey(request);
+  boolean contains(RequestFingerprint request) {
+    return crashesByRequest.containsKey(request);
   }
 
   boolean isEmpty() {
-    return endsByRequest.isEmpty();
+    return crashesByRequest.isEmpty();
   }
 
   /**
@@ -94,9 +95,9 @@
    * explained them. Where they weigh less, as after some have grown old, nothing tells that another
    * request explains them.
    */
-  public boolean canJudge(RequestFingerprint request) {
-    boolean known = endsByRequest.containsKey(request);
-    return known && unexplainedWeight(request, Set.of()) >= SUFFICIENT_ENDS;
+  public boolean hasSufficientEvidence(RequestFingerprint request) {
+    boolean known = crashesByRequest.containsKey(request);
+    return known && unexplainedWeight(request, Set.of()) >= SUFFICIENT_CRASHES;
   }
 
   /**
@@ -107,25 +108,25 @@
    */
   public List<RequestFingerprint> causes(Predicate<RequestFingerprint> isHeld) {
     List<RequestFingerprint> candidates = new ArrayList<>();
-    endsByRequest.forEach(
+    crashesByRequest.forEach(
         (request, ends) -> {
-          if (ends.size() >= SUFFICIENT_ENDS) {
+          if (ends.size() >= SUFFICIENT_CRASHES) {
             candidates.add(request);
           }
         });
     Set<String> explained = new HashSet<>();
     List<RequestFingerprint> causes = new ArrayList<>();
-    Optional<RequestFingerprint> leading = leading(candidates, explained, isHeld);
+    Optional<RequestFingerprint> leading = strongestCandidate(candidates, explained, isHeld);
     while (leading.isPresent()) {
       causes.add(leading.get());
-      explained.addAll(endsByRequest.get(leading.get()).keySet());
-      leading = leading(candidates, explained, isHeld);
+      explained.addAll(crashesByRequest.get(leading.get()).keySet());
+      leading = strongestCandidate(candidates, explained, isHeld);
     }
     return causes;
   }
 
   /** The request under which most engines ended that nothing explains; empty when too few did. */
-  private Optional<RequestFingerprint> leading(
+  private Optional<RequestFingerprint> strongestCandidate(
       List<RequestFingerprint> candidates,
       Set<String> explained,
       Predicate<RequestFingerprint> isHeld) {
@@ -134,7 +135,7 @@
     for (RequestFingerprint candidate : candidates) {
       double weight = unexplainedWeight(candidate, explained);
       boolean leads = weight > most || (weight == most && isHeld.test(candidate));
-      if (weight >= SUFFICIENT_ENDS && leads) {
+      if (weight >= SUFFICIENT_CRASHES && leads) {
         leading = candidate;
         most = weight;
       }
@@ -144,7 +145,7 @@
 
   private double unexplainedWeight(RequestFingerprint request, Set<String> explained) {
     double weight = 0;
-    for (Map.Entry<String, Noted> end : endsByRequest.get(request).entrySet()) {
+    for (Map.Entry<String, Evidence> end : crashesByRequest.get(request).entrySet()) {
       if (!explained.contains(end.getKey())) {
         weight += end.getValue().weight();
       }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineEndReporter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
@@ -23,57 +23,57 @@
  * <p>A notice is sent until a leader has taken it. What leaders collect is not replicated, so a new
  * leader is told all of the last while again.
  */
-public final class EngineEndReporter {
+public final class EngineCrashReporter {
   /** Gathers the requests that one end cuts: they are noticed within a millisecond or two. */
-  private static final long GATHER_MS = 10;
+  private static final long BATCH_DELAY_MS = 10;
 
   private static final long RETRY_PAUSE_MS = 200;
   private static final long CALL_TIMEOUT_MS = 900;
   private static final long ATTEMPT_TIMEOUT_MS = 300;
 
   /** The newest ends, which a new leader is told again; about 200 bytes each. */
-  private static final int MAX_KEPT = 512;
+  private static final int MAX_RECENT_CRASHES = 512;
 
   private final EventLoop eventLoop;
   private final GroupClient coordinators;
-  private final Runnable onTaken;
-  private final Deque<EngineEnd> kept = new ArrayDeque<>();
-  private final Set<EngineEnd> untold = new LinkedHashSet<>();
+  private final Runnable onAccepted;
+  private final Deque<EngineEnd> recentCrashes = new ArrayDeque<>();
+  private final Set<EngineEnd> unreportedCrashes = new LinkedHashSet<>();
   private final Set<RequestFingerprint> served = new LinkedHashSet<>();
   private boolean sending;
 
   /**
    * Creates a reporter.
    *
-   * @param onTaken runs when a leader has taken a notice, to ask for what follows from it
+   * @param onAccepted runs when a leader has taken a notice, to ask for what follows from it
    */
-  public EngineEndReporter(EventLoop eventLoop, GroupClient coordinators, Runnable onTaken) {
+  public EngineCrashReporter(EventLoop eventLoop, GroupClient coordinators, Runnable onAccepted) {
     this.eventLoop = eventLoop;
     this.coordinators = coordinators;
-    this.onTaken = onTaken;
+    this.onAccepted = onAccepted;
   }
 
-  void ended(List<EngineEnd> ends) {
-    untold.addAll(ends);
-    kept.addAll(ends);
-    while (kept.size() > MAX_KEPT) {
-      untold.remove(kept.removeFirst());
+  void reportCrashes(List<EngineEnd> ends) {
+    unreportedCrashes.addAll(ends);
+    recentCrashes.addAll(ends);
+    while (recentCrashes.size() > MAX_RECENT_CRASHES) {
+      unreportedCrashes.remove(recentCrashes.removeFirst());
     }
-    sendAfter(GATHER_MS);
+    sendAfter(BATCH_DELAY_MS);
   }
 
-  void served(RequestFingerprint request) {
-    kept.removeIf(end -> end.request().equals(request));
-    untold.removeIf(end -> end.request().equals(request));
+  void reportServed(RequestFingerprint request) {
+    recentCrashes.removeIf(end -> end.request().equals(request));
+    unreportedCrashes.removeIf(end -> end.request().equals(request));
     served.add(request);
-    sendAfter(GATHER_MS);
+    sendAfter(BATCH_DELAY_MS);
   }
 
   /** Another coordinator leads, which knows nothing of earlier ends. */
   public void onNewLeader() {
-    untold.addAll(kept);
-    if (!untold.isEmpty()) {
-      sendAfter(GATHER_MS);
+    unreportedCrashes.addAll(recentCrashes);
+    if (!unreportedCrashes.isEmpty()) {
+      sendAfter(BATCH_DELAY_MS);
     }
   }
 
@@ -85,7 +85,8 @@
   }
 
   private void send() {
-    EngineEndNotice notice = new EngineEndNotice(List.copyOf(untold), List.copyOf(served));
+    EngineEndNotice notice =
+        new EngineEndNotice(List.copyOf(unreportedCrashes), List.copyOf(served));
     coordinators
         .call(notice, CALL_TIMEOUT_MS, ATTEMPT_TIMEOUT_MS)
         .thenAcceptAsync(result -> onAnswer(notice, result), eventLoop);
@@ -95,12 +96,12 @@
     sending = false;
     boolean taken = result.isOk() && result.value() instanceof EngineEndNoted;
     if (taken) {
-      untold.removeAll(new ArrayList<>(notice.ends()));
+      unreportedCrashes.removeAll(new ArrayList<>(notice.ends()));
       served.removeAll(new ArrayList<>(notice.served()));
-      onTaken.run();
+      onAccepted.run();
     }
-    if (!untold.isEmpty() || !served.isEmpty()) {
-      sendAfter(taken ? GATHER_MS : RETRY_PAUSE_MS);
+    if (!unreportedCrashes.isEmpty() || !served.isEmpty()) {
+      sendAfter(taken ? BATCH_DELAY_MS : RETRY_PAUSE_MS);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/CutRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/InterruptedRequest.java
@@ -7,4 +7,4 @@
  *
  * @param answerBegan whether the engine had begun to answer it
  */
-public record CutRequest(EngineCall call, boolean answerBegan) {}
+public record InterruptedRequest(EngineCall call, boolean answerBegan) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineEndWatch.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
@@ -2,12 +2,12 @@
 
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
-import io.pathdeck.fleet.adapter.EngineAnswer;
 import io.pathdeck.fleet.adapter.EngineCall;
+import io.pathdeck.fleet.adapter.EngineResponse;
 import io.pathdeck.fleet.engine.EngineFailure;
 import io.pathdeck.fleet.engine.EngineListener;
-import io.pathdeck.fleet.engine.EngineLiveness;
-import io.pathdeck.fleet.engine.EngineLiveness.Verdict;
+import io.pathdeck.fleet.engine.EngineLivenessProbe;
+import io.pathdeck.fleet.engine.EngineLivenessProbe.Verdict;
 import io.pathdeck.fleet.engine.EngineTransport;
 import io.pathdeck.protocol.fleet.EngineEnd;
 import io.pathdeck.protocol.fleet.EngineInstance;
@@ -29,36 +29,36 @@
  * caller of this class has to ask. Without it one request ended engines 34 times in a fleet of 18,
  * since each try has another id and nothing that one try showed was known to the next.
  */
-public final class EngineEndWatch implements EngineTransport {
-  private static final EventLog EVENTS = EventLog.of(EngineEndWatch.class);
+public final class QuarantiningTransport implements EngineTransport {
+  private static final EventLog EVENTS = EventLog.of(QuarantiningTransport.class);
   private static final Handle NOTHING_TO_CANCEL = () -> {};
 
   private final EngineTransport transport;
-  private final EngineLiveness liveness;
-  private final EngineEndReporter reporter;
+  private final EngineLivenessProbe liveness;
+  private final EngineCrashReporter reporter;
   private final Executor eventLoop;
-  private final Consumer<EngineInstance> onEnded;
+  private final Consumer<EngineInstance> onEngineDown;
   private final RequestQuarantine quarantine = new RequestQuarantine();
-  private final EngineEndLedger ownLedger = new EngineEndLedger();
-  private final Map<String, List<CutRequest>> undecided = new HashMap<>();
+  private final CrashCauseDetector localDetector = new CrashCauseDetector();
+  private final Map<String, List<InterruptedRequest>> interruptedByInstance = new HashMap<>();
 
   /**
    * Watches the calls over {@code transport}.
    *
    * @param eventLoop the thread of all calls
-   * @param onEnded hears of each engine that has ended, as often as that is noticed
+   * @param onEngineDown hears of each engine that has ended, as often as that is noticed
    */
-  public EngineEndWatch(
+  public QuarantiningTransport(
       EngineTransport transport,
-      EngineLiveness liveness,
-      EngineEndReporter reporter,
+      EngineLivenessProbe liveness,
+      EngineCrashReporter reporter,
       Executor eventLoop,
-      Consumer<EngineInstance> onEnded) {
+      Consumer<EngineInstance> onEngineDown) {
     this.transport = transport;
     this.liveness = liveness;
     this.reporter = reporter;
     this.eventLoop = eventLoop;
-    this.onEnded = onEnded;
+    this.onEngineDown = onEngineDown;
   }
 
   private static long nowMs() {
@@ -66,13 +66,13 @@
   }
 
   /** Follows the requests that the fleet holds back. */
-  public void follow(QuarantineList told) {
-    quarantine.follow(told);
+  public void updateQuarantine(QuarantineList told) {
+    quarantine.update(told);
   }
 
   @Override
   public Handle start(EngineCall call, EngineListener caller) {
-    if (call.isOfRequest() && quarantine.holds(call, nowMs())) {
+    if (call.hasRequestId() && quarantine.isQuarantined(call, nowMs())) {
       eventLoop.execute(
           () -> caller.onFailure(EngineFailure.QUARANTINED, "engines ended under this request"));
       return NOTHING_TO_CANCEL;
@@ -80,19 +80,19 @@
     return transport.start(call, new WatchedCall(call, caller));
   }
 
-  private void onCut(CutRequest request) {
+  private void onInterrupted(InterruptedRequest request) {
     EngineInstance engine = request.call().engine();
-    List<CutRequest> cut = undecided.get(engine.lifeId());
+    List<InterruptedRequest> cut = interruptedByInstance.get(engine.lifeId());
     if (cut != null) {
       cut.add(request);
       return;
     }
-    undecided.put(engine.lifeId(), new ArrayList<>(List.of(request)));
+    interruptedByInstance.put(engine.lifeId(), new ArrayList<>(List.of(request)));
     liveness.check(engine, verdict -> onVerdict(engine, verdict));
   }
 
   private void onVerdict(EngineInstance engine, Verdict verdict) {
-    List<CutRequest> cut = undecided.remove(engine.lifeId());
+    List<InterruptedRequest> cut = interruptedByInstance.remove(engine.lifeId());
     EVENTS.log(
         EventCode.ENGINE_CHECKED,
         "engine",
@@ -102,27 +102,27 @@
         "requests",
         cut.size());
     if (verdict == Verdict.ENDED) {
-      onEnded.accept(engine);
-      noteEnds(engine, cut);
+      onEngineDown.accept(engine);
+      recordCrashes(engine, cut);
     }
   }
 
-  private void noteEnds(EngineInstance engine, List<CutRequest> cut) {
+  private void recordCrashes(EngineInstance engine, List<InterruptedRequest> cut) {
     long nowMs = nowMs();
     List<EngineEnd> ends = new ArrayList<>();
-    for (CutRequest request : cut) {
-      RequestFingerprint fingerprint = RequestContent.fingerprint(request.call());
+    for (InterruptedRequest request : cut) {
+      RequestFingerprint fingerprint = RequestFingerprints.fingerprint(request.call());
       EngineEnd end = new EngineEnd(engine.lifeId(), fingerprint, request.answerBegan());
-      logEnd(request.call().requestId(), end);
-      ownLedger.note(end, nowMs);
+      logCrash(request.call().requestId(), end);
+      localDetector.add(end, nowMs);
       ends.add(end);
     }
-    ownLedger.expire(nowMs);
-    quarantine.addOwn(ownLedger.causes(quarantine::contains), nowMs);
-    reporter.ended(ends);
+    localDetector.expire(nowMs);
+    quarantine.addLocal(localDetector.causes(quarantine::isConfirmed), nowMs);
+    reporter.reportCrashes(ends);
   }
 
-  private static void logEnd(String requestId, EngineEnd end) {
+  private static void logCrash(String requestId, EngineEnd end) {
     EVENTS.log(
         EventCode.ENGINE_ENDED_UNDER_REQUEST,
         "request",
@@ -137,13 +137,13 @@
 
   /** A request that was served to its end does not end engines. */
   private void onServed(EngineCall call) {
-    if (ownLedger.isEmpty() || !ownLedger.mayKnow(RequestContent.outline(call))) {
+    if (localDetector.isEmpty() || !localDetector.mayContain(RequestFingerprints.outline(call))) {
       return;
     }
-    RequestFingerprint request = RequestContent.fingerprint(call);
-    if (ownLedger.knows(request)) {
-      ownLedger.clear(request);
-      reporter.served(request);
+    RequestFingerprint request = RequestFingerprints.fingerprint(call);
+    if (localDetector.contains(request)) {
+      localDetector.clear(request);
+      reporter.reportServed(request);
     }
   }
 
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void onHead(EngineAnswer answer) {
+    public void onHead(EngineResponse answer) {
       status = answer.status();
       caller.onHead(answer);
     }
@@ -174,7 +174,7 @@
 
     @Override
     public void onEnd() {
-      if (call.isOfRequest() && status >= SUCCESS_FROM && status < SUCCESS_TO) {
+      if (call.hasRequestId() && status >= SUCCESS_FROM && status < SUCCESS_TO) {
         onServed(call);
       }
       caller.onEnd();
@@ -182,10 +182,10 @@
 
     @Override
     public void onFailure(EngineFailure failure, String reason) {
-      if (failure.isLostConnection() && call.isOfRequest()) {
-        onCut(new CutRequest(call, status != 0));
-      } else if (failure == EngineFailure.CONNECTION_REFUSED && liveness.isGone(call.engine())) {
-        onEnded.accept(call.engine());
+      if (failure.isLostConnection() && call.hasRequestId()) {
+        onInterrupted(new InterruptedRequest(call, status != 0));
+      } else if (failure == EngineFailure.CONNECTION_REFUSED && liveness.isDown(call.engine())) {
+        onEngineDown.accept(call.engine());
       }
       caller.onFailure(failure, reason);
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestContent.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestFingerprints.java
@@ -14,18 +14,18 @@
  * Computes what names a request over all its tries. Headers do not belong to it: ids, deadlines and
  * the last event that a caller holds differ from try to try.
  */
-public final class RequestContent {
+public final class RequestFingerprints {
   private static final String ALGORITHM = "SHA-256";
   private static final int DIGEST_BYTES = 16;
-  private static final int FACTOR = 31;
+  private static final int HASH_MULTIPLIER = 31;
 
-  private RequestContent() {}
+  private RequestFingerprints() {}
 
   /** The cheap part of the fingerprint: some tens of nanoseconds, whatever the body's length. */
   public static int outline(EngineCall call) {
     int hash = call.method().hashCode();
-    hash = FACTOR * hash + call.uri().hashCode();
-    return FACTOR * hash + call.body().length;
+    hash = HASH_MULTIPLIER * hash + call.uri().hashCode();
+    return HASH_MULTIPLIER * hash + call.body().length;
   }
 
   /**
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
@@ -16,50 +16,50 @@
  */
 final class RequestQuarantine {
   /** Several elections of 0.6 to 1.2 s. */
-  private static final long OWN_VALID_MS = 10_000;
+  private static final long LOCAL_VALID_MS = 10_000;
 
   private final Set<Integer> outlines = new HashSet<>();
-  private final Set<RequestFingerprint> told = new HashSet<>();
-  private final Set<RequestFingerprint> own = new HashSet<>();
+  private final Set<RequestFingerprint> confirmed = new HashSet<>();
+  private final Set<RequestFingerprint> local = new HashSet<>();
   private long version = QuarantineList.NONE.version();
-  private long ownUntilMs;
+  private long localUntilMs;
 
   /** Follows the list that the leading coordinator tells. */
-  void follow(QuarantineList list) {
+  void update(QuarantineList list) {
     if (list.version() == version) {
       return;
     }
     version = list.version();
-    told.clear();
-    told.addAll(list.requests());
-    own.clear();
-    noteOutlines();
+    confirmed.clear();
+    confirmed.addAll(list.requests());
+    local.clear();
+    rebuildOutlines();
   }
 
   /** Adds what this process has found by itself. */
-  void addOwn(Collection<RequestFingerprint> found, long nowMs) {
-    if (own.addAll(found)) {
-      ownUntilMs = nowMs + OWN_VALID_MS;
-      noteOutlines();
+  void addLocal(Collection<RequestFingerprint> found, long nowMs) {
+    if (local.addAll(found)) {
+      localUntilMs = nowMs + LOCAL_VALID_MS;
+      rebuildOutlines();
     }
   }
 
-  private void noteOutlines() {
+  private void rebuildOutlines() {
     outlines.clear();
-    told.forEach(request -> outlines.add(request.outline()));
-    own.forEach(request -> outlines.add(request.outline()));
+    confirmed.forEach(request -> outlines.add(request.outline()));
+    local.forEach(request -> outlines.add(request.outline()));
   }
 
-  boolean contains(RequestFingerprint request) {
-    return told.contains(request);
+  boolean isConfirmed(RequestFingerprint request) {
+    return confirmed.contains(request);
   }
 
   /** Whether a call's request is in quarantine; the body is read only where the outline fits. */
-  boolean holds(EngineCall call, long nowMs) {
-    if (!outlines.contains(RequestContent.outline(call))) {
+  boolean isQuarantined(EngineCall call, long nowMs) {
+    if (!outlines.contains(RequestFingerprints.outline(call))) {
       return false;
     }
-    RequestFingerprint request = RequestContent.fingerprint(call);
-    return told.contains(request) || (nowMs < ownUntilMs && own.contains(request));
+    RequestFingerprint request = RequestFingerprints.fingerprint(call);
+    return confirmed.contains(request) || (nowMs < localUntilMs && local.contains(request));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/RankQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/FairQueue.java
@@ -7,11 +7,11 @@
  * The waiting requests of one rank, fair between tenants (start-time fair queueing): the tenant
  * that used least of late is next, so that a flood delays the tenant that sends it.
  */
-final class RankQueue<T> {
+final class FairQueue<T> {
   private final Map<String, TenantQueue<T>> tenants = new LinkedHashMap<>();
   private double virtualTime;
   private int waiting;
-  private int timesPassed;
+  private int timesSkipped;
 
   void add(TenantQueue.Arrival<T> arrival) {
     tenants.computeIfAbsent(arrival.waiting().tenant(), added -> new TenantQueue<>()).add(arrival);
@@ -22,8 +22,8 @@
     TenantQueue<T> tenant = tenants.get(arrival.waiting().tenant());
     if (tenant != null && tenant.remove(arrival)) {
       waiting--;
-      timesPassed = isEmpty() ? 0 : timesPassed;
-      forgetIdle();
+      timesSkipped = isEmpty() ? 0 : timesSkipped;
+      removeIdleTenants();
     }
   }
 
@@ -32,32 +32,32 @@
   }
 
   /** How many requests of other ranks were sent while requests of this one waited. */
-  int timesPassed() {
-    return timesPassed;
+  int timesSkipped() {
+    return timesSkipped;
   }
 
-  void onPassed() {
-    timesPassed++;
+  void onSkipped() {
+    timesSkipped++;
   }
 
   TenantQueue.Arrival<T> first() {
-    return next().first();
+    return nextTenant().first();
   }
 
   /** Takes the first request out and charges its tenant. */
   TenantQueue.Arrival<T> poll() {
-    timesPassed = 0;
-    TenantQueue<T> tenant = next();
+    timesSkipped = 0;
+    TenantQueue<T> tenant = nextTenant();
     TenantQueue.Arrival<T> first = tenant.first();
     tenant.remove(first);
     waiting--;
     virtualTime = tenant.startTag(virtualTime);
     tenant.charge(virtualTime, first.waiting().work());
-    forgetIdle();
+    removeIdleTenants();
     return first;
   }
 
-  private TenantQueue<T> next() {
+  private TenantQueue<T> nextTenant() {
     TenantQueue<T> best = null;
     for (TenantQueue<T> tenant : tenants.values()) {
       boolean sooner = best == null || tenant.startTag(virtualTime) < best.startTag(virtualTime);
@@ -68,7 +68,7 @@
     return best;
   }
 
-  private void forgetIdle() {
+  private void removeIdleTenants() {
     tenants.values().removeIf(tenant -> tenant.isIdle(virtualTime));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueuePolicy.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueuePolicy.java
@@ -33,8 +33,8 @@
 
   /** Decides on a request that may go to {@code engines}. */
   public static QueueDecision decide(
-      Request request, List<EngineRoom> engines, ServiceTimes times, long nowMs) {
-    boolean allFull = !engines.isEmpty() && engines.stream().allMatch(EngineRoom::isKnownFull);
+      Request request, List<EngineCapacity> engines, ServiceTimes times, long nowMs) {
+    boolean allFull = !engines.isEmpty() && engines.stream().allMatch(EngineCapacity::isKnownFull);
     if (!allFull) {
       return new QueueDecision.Send();
     }
@@ -50,12 +50,15 @@
     if (request.holdUntilMs() != Request.NOT_HELD) {
       return request.holdUntilMs();
     }
-    double spareMs = request.dueMs() - nowMs - times.firstMs();
+    double spareMs = request.dueMs() - nowMs - times.firstByteMs();
     return nowMs + Math.round(Math.max(0, spareMs) * HELD_SHARE);
   }
 
   /** How long a request waits at the engine that is expected to be free first; at least so long. */
-  public static double expectedWaitMs(List<EngineRoom> engines, ServiceTimes times) {
-    return engines.stream().mapToDouble(engine -> engine.waitMs(times.placeMs())).min().orElse(0);
+  public static double expectedWaitMs(List<EngineCapacity> engines, ServiceTimes times) {
+    return engines.stream()
+        .mapToDouble(engine -> engine.expectedWaitMs(times.slotTimeMs()))
+        .min()
+        .orElse(0);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/RequestQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/RequestQueue.java
@@ -22,14 +22,14 @@
    * After how many requests of other ranks a waiting rank is next: urgent callers lose at most one
    * place in nine to each less urgent rank.
    */
-  static final int MAX_TIMES_PASSED = 8;
+  static final int MAX_TIMES_SKIPPED = 8;
 
   private final int maxRequests;
   private final long maxBytes;
-  private final TreeMap<Rank, RankQueue<T>> ranks = new TreeMap<>();
+  private final TreeMap<Rank, FairQueue<T>> queuesByRank = new TreeMap<>();
   private final Map<T, TenantQueue.Arrival<T>> arrivals = new LinkedHashMap<>();
   private long bytes;
-  private long arrivalCount;
+  private long nextSequence;
 
   /** An empty queue with its bounds; a request alone in the queue may be larger. */
   public RequestQueue(int maxRequests, long maxBytes) {
@@ -42,30 +42,30 @@
     if (arrivals.containsKey(waiting.request())) {
       throw new IllegalArgumentException("the request waits already");
     }
-    TenantQueue.Arrival<T> arrival = new TenantQueue.Arrival<>(waiting, arrivalCount++);
+    TenantQueue.Arrival<T> arrival = new TenantQueue.Arrival<>(waiting, nextSequence++);
     arrivals.put(waiting.request(), arrival);
     bytes += waiting.bytes();
-    ranks.computeIfAbsent(waiting.rank(), added -> new RankQueue<>()).add(arrival);
+    queuesByRank.computeIfAbsent(waiting.rank(), added -> new FairQueue<>()).add(arrival);
     List<WaitingRequest<T>> givenWay = new ArrayList<>();
     while (arrivals.size() > 1 && (arrivals.size() > maxRequests || bytes > maxBytes)) {
-      givenWay.add(giveWay());
+      givenWay.add(evictOne());
     }
     return givenWay;
   }
 
-  private WaitingRequest<T> giveWay() {
-    String tenant = costliestTenant();
+  private WaitingRequest<T> evictOne() {
+    String tenant = tenantWithMostWork();
     WaitingRequest<T> newest =
         arrivals.values().stream()
             .filter(arrival -> arrival.waiting().tenant().equals(tenant))
-            .max(Comparator.comparingLong(TenantQueue.Arrival::number))
+            .max(Comparator.comparingLong(TenantQueue.Arrival::sequence))
             .orElseThrow()
             .waiting();
     remove(newest.request());
     return newest;
   }
 
-  private String costliestTenant() {
+  private String tenantWithMostWork() {
     Map<String, Double> work = new HashMap<>();
     for (TenantQueue.Arrival<T> arrival : arrivals.values()) {
       work.merge(arrival.waiting().tenant(), arrival.waiting().work(), Double::sum);
@@ -75,33 +75,33 @@
 
   /** The request that is next, if any waits. */
   public Optional<WaitingRequest<T>> peek() {
-    return next().map(rank -> rank.first().waiting());
+    return nextQueue().map(rank -> rank.first().waiting());
   }
 
   /** Takes the next request out, if any waits. */
   public Optional<WaitingRequest<T>> poll() {
-    Optional<RankQueue<T>> next = next();
+    Optional<FairQueue<T>> next = nextQueue();
     if (next.isEmpty()) {
       return Optional.empty();
     }
     TenantQueue.Arrival<T> arrival = next.get().poll();
-    for (RankQueue<T> other : ranks.values()) {
+    for (FairQueue<T> other : queuesByRank.values()) {
       if (other != next.get() && !other.isEmpty()) {
-        other.onPassed();
+        other.onSkipped();
       }
     }
     forget(arrival.waiting());
     return Optional.of(arrival.waiting());
   }
 
-  private Optional<RankQueue<T>> next() {
-    RankQueue<T> best = null;
-    for (RankQueue<T> rank : ranks.values()) {
+  private Optional<FairQueue<T>> nextQueue() {
+    FairQueue<T> best = null;
+    for (FairQueue<T> rank : queuesByRank.values()) {
       if (rank.isEmpty()) {
         continue;
       }
-      boolean starved = rank.timesPassed() >= MAX_TIMES_PASSED;
-      if (best == null || (starved && rank.timesPassed() > best.timesPassed())) {
+      boolean starved = rank.timesSkipped() >= MAX_TIMES_SKIPPED;
+      if (best == null || (starved && rank.timesSkipped() > best.timesSkipped())) {
         best = rank;
       }
     }
@@ -114,7 +114,7 @@
     if (arrival == null) {
       return false;
     }
-    ranks.get(arrival.waiting().rank()).remove(arrival);
+    queuesByRank.get(arrival.waiting().rank()).remove(arrival);
     forget(arrival.waiting());
     return true;
   }
@@ -125,7 +125,7 @@
   }
 
   /** Whether a request has waited as long as it may. */
-  public boolean hasOverdue(long nowMs) {
+  public boolean hasExpiredHold(long nowMs) {
     return arrivals.values().stream().anyMatch(arrival -> arrival.waiting().holdUntilMs() <= nowMs);
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/ReturnTimes.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/RetryAfterSchedule.java
@@ -6,7 +6,7 @@
  * Tells rejected callers when to come back: each at a moment of its own from when room is expected
  * on, those rejected first before the others. Confined to one thread.
  */
-public final class ReturnTimes {
+public final class RetryAfterSchedule {
   /** Callers follow a time to come back only up to this share of the time that they have left. */
   private static final long CALLER_TIME_DIVISOR = 3;
 
@@ -19,30 +19,30 @@
   private static final double GOLDEN_RATIO = 0.618_033_988_749_895;
 
   /** The moments that were told and have not come, as multiples of the spacing. */
-  private final TreeSet<Long> told = new TreeSet<>();
+  private final TreeSet<Long> reservedSlots = new TreeSet<>();
 
-  private double position;
+  private double spreadPosition;
 
   /** When a caller comes back that is rejected now and has {@code timeLeftMs}. */
   public long retryAfterMs(long expectedWaitMs, long timeLeftMs, long nowMs) {
-    told.headSet(nowMs / SPACING_MS).clear();
+    reservedSlots.headSet(nowMs / SPACING_MS).clear();
     long longestMs = Math.max(MIN_RETRY_AFTER_MS, timeLeftMs / CALLER_TIME_DIVISOR);
     long earliestMs = Math.max(MIN_RETRY_AFTER_MS, Math.min(expectedWaitMs, longestMs / 2));
     long slot = (nowMs + earliestMs + SPACING_MS - 1) / SPACING_MS;
-    while (told.contains(slot)) {
+    while (reservedSlots.contains(slot)) {
       slot++;
     }
     long afterMs = slot * SPACING_MS - nowMs;
     if (afterMs <= longestMs) {
-      told.add(slot);
+      reservedSlots.add(slot);
       return afterMs;
     }
-    return anyTime(earliestMs, longestMs);
+    return spreadRetryAfterMs(earliestMs, longestMs);
   }
 
   /** All moments are taken: callers meet, but stay spread. */
-  private long anyTime(long earliestMs, long longestMs) {
-    position = (position + GOLDEN_RATIO) % 1;
-    return earliestMs + Math.round(position * (longestMs - earliestMs));
+  private long spreadRetryAfterMs(long earliestMs, long longestMs) {
+    spreadPosition = (spreadPosition + GOLDEN_RATIO) % 1;
+    return earliestMs + Math.round(spreadPosition * (longestMs - earliestMs));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/TenantQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/TenantQueue.java
@@ -6,12 +6,12 @@
 /** The waiting requests of one tenant and rank, the earliest due first. */
 final class TenantQueue<T> {
   /** A request with its place in the order of arrival. */
-  record Arrival<T>(WaitingRequest<T> waiting, long number) {}
+  record Arrival<T>(WaitingRequest<T> waiting, long sequence) {}
 
   private final TreeSet<Arrival<T>> arrivals =
       new TreeSet<>(
           Comparator.comparingLong((Arrival<T> arrival) -> arrival.waiting().dueMs())
-              .thenComparingLong(Arrival::number));
+              .thenComparingLong(Arrival::sequence));
   private double finishTag;
 
   void add(Arrival<T> arrival) {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchReads.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchResultReads.java
@@ -12,16 +12,16 @@
 import java.util.List;
 
 /** Reads of results that wait for the first one; runs on the thread of the consensus duty. */
-final class BatchReads {
-  private static final int MAX_WAITING = 4_096;
+final class BatchResultReads {
+  private static final int MAX_PENDING = 4_096;
 
-  private record Waiting(ReadBatchResults read, long deadlineMs, ReplySink reply) {}
+  private record PendingRead(ReadBatchResults read, long deadlineMs, ReplySink reply) {}
 
   private final GroupRuntime group;
   private final BatchStateMachine state;
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final List<PendingRead> pending = new ArrayList<>();
 
-  BatchReads(GroupRuntime group, BatchStateMachine state) {
+  BatchResultReads(GroupRuntime group, BatchStateMachine state) {
     this.group = group;
     this.state = state;
   }
@@ -38,9 +38,9 @@
             && result instanceof BatchResults results
             && results.results().isEmpty()
             && results.next() < results.total()
-            && waiting.size() < MAX_WAITING;
+            && pending.size() < MAX_PENDING;
     if (waits) {
-      waiting.add(new Waiting(read, nowMs + read.waitMs(), reply));
+      pending.add(new PendingRead(read, nowMs + read.waitMs(), reply));
     } else {
       reply.reply(new QueryReply(result));
     }
@@ -48,12 +48,12 @@
 
   /** Answers the reads that waited long enough or for which there is a result. */
   void onStep(long nowMs) {
-    if (waiting.isEmpty()) {
+    if (pending.isEmpty()) {
       return;
     }
-    List<Waiting> due = waiting.stream().filter(read -> isDue(read, nowMs)).toList();
-    waiting.removeAll(due);
-    for (Waiting read : due) {
+    List<PendingRead> due = pending.stream().filter(read -> isDue(read, nowMs)).toList();
+    pending.removeAll(due);
+    for (PendingRead read : due) {
       ReadBatchResults asked = read.read();
       read(
           new ReadBatchResults(asked.jobId(), asked.tenant(), asked.from(), asked.maxBytes(), 0),
@@ -62,7 +62,7 @@
     }
   }
 
-  private boolean isDue(Waiting read, long nowMs) {
+  private boolean isDue(PendingRead read, long nowMs) {
     boolean hasResult =
         state
             .job(read.read().jobId())
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
@@ -10,15 +10,15 @@
 import io.pathdeck.fleet.adapter.EngineLoadReport;
 import io.pathdeck.fleet.adapter.EngineProtocol;
 import io.pathdeck.fleet.adapter.EngineTenant;
-import io.pathdeck.fleet.engine.EngineChoice;
-import io.pathdeck.fleet.engine.EngineLiveness;
-import io.pathdeck.fleet.engine.EngineReports;
+import io.pathdeck.fleet.engine.EngineLivenessProbe;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
+import io.pathdeck.fleet.engine.EngineLoadClient;
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.engine.NettyEngineTransport;
 import io.pathdeck.fleet.member.FleetView;
-import io.pathdeck.fleet.quarantine.EngineEndReporter;
-import io.pathdeck.fleet.quarantine.EngineEndWatch;
+import io.pathdeck.fleet.quarantine.EngineCrashReporter;
+import io.pathdeck.fleet.quarantine.QuarantiningTransport;
 import io.pathdeck.protocol.command.Command;
 import io.pathdeck.protocol.command.Done;
 import io.pathdeck.protocol.command.ListBatchResults;
@@ -44,15 +44,15 @@
  */
 final class BatchRunner {
   private static final long SCHEDULE_INTERVAL_MS = 20;
-  private static final long YIELD_PAUSE_MS = 400;
-  private static final long SILENCE_MS = 1_500;
-  private static final long FAILURE_PAUSE_MS = 150;
-  private static final long MAX_UNCLEAR_PAUSE_MS = 2_000;
+  private static final long YIELD_RETRY_DELAY_MS = 400;
+  private static final long SILENCE_TIMEOUT_MS = 1_500;
+  private static final long RETRY_DELAY_MS = 150;
+  private static final long MAX_RETRY_DELAY_MS = 2_000;
 
   /**
    * An item under which engines end stays open until its age; this often it may have been freed.
    */
-  private static final long QUARANTINE_PAUSE_MS = 2_000;
+  private static final long QUARANTINE_RETRY_DELAY_MS = 2_000;
 
   private static final int MAX_DOUBLINGS = 10;
   private static final long GIVE_UP_MARGIN_MS = 500;
@@ -65,7 +65,7 @@
   private final BatchStateMachine state;
   private final ControllerClock clock;
   private final EventLoop eventLoop;
-  private final EngineEndWatch transport;
+  private final QuarantiningTransport transport;
   private final Executor consensus;
   private final LoadPolls loadPolls;
   private final BooleanSupplier engineListIsValid;
@@ -73,7 +73,7 @@
   private final ItemSlack slack;
   private final ItemScheduler scheduler;
   private final ItemRuns runs = new ItemRuns();
-  private FleetView view = FleetView.UNKNOWN;
+  private FleetView view = FleetView.EMPTY;
   private long term;
   private long nextScheduleMs;
   private long nextRecordMs;
@@ -91,8 +91,8 @@
       EventLoop eventLoop,
       NettyEngineTransport transport,
       EngineProtocol protocol,
-      EngineEndReporter reporter,
-      EngineChoice choice,
+      EngineCrashReporter reporter,
+      EngineLoadBalancer choice,
       BooleanSupplier engineListIsValid,
       Executor consensus) {
     this.group = group;
@@ -101,28 +101,28 @@
     this.scheduler = new ItemScheduler(engines, choice, slack);
     this.clock = clock;
     this.eventLoop = eventLoop;
-    EngineLiveness liveness = new EngineLiveness(eventLoop, transport, protocol);
+    EngineLivenessProbe liveness = new EngineLivenessProbe(eventLoop, transport, protocol);
     this.transport =
-        new EngineEndWatch(
+        new QuarantiningTransport(
             transport,
             liveness,
             reporter,
             eventLoop,
-            engine -> consensus.execute(() -> engines.onEnded(engine, clock.monotonicMs())));
+            engine -> consensus.execute(() -> engines.onDown(engine, clock.monotonicMs())));
     this.engineListIsValid = engineListIsValid;
     this.consensus = consensus;
-    EngineReports reports =
-        new EngineReports(
+    EngineLoadClient reports =
+        new EngineLoadClient(
             transport,
             protocol,
             (engineId, load) -> consensus.execute(() -> onReport(engineId, load)));
-    this.loadPolls = new LoadPolls(engine -> eventLoop.execute(() -> reports.ask(engine)));
+    this.loadPolls = new LoadPolls(engine -> eventLoop.execute(() -> reports.fetch(engine)));
   }
 
   /** Follows what is known of the fleet. */
   void onChange(FleetView changed) {
     view = changed;
-    eventLoop.execute(() -> transport.follow(changed.quarantine()));
+    eventLoop.execute(() -> transport.updateQuarantine(changed.quarantine()));
     if (changed.engines() != null) {
       engines.update(changed.engines());
     }
@@ -133,14 +133,14 @@
     if (!sameTerm) {
       stopAll();
       term = group.replica().term();
-      scheduler.onLeading(nowMs);
+      scheduler.onLeadershipGained(nowMs);
     }
     if (!group.isLeading() || nowMs < nextScheduleMs) {
       return;
     }
     nextScheduleMs = nowMs + SCHEDULE_INTERVAL_MS;
-    runs.follow(state.jobs(), this::stop, nowMs, state.timeMs());
-    checkSilence(nowMs);
+    runs.update(state.jobs(), this::stop, nowMs, state.timeMs());
+    abortSilentStreams(nowMs);
     giveUpExpired(nowMs);
     recordProgress(nowMs);
     if (view.isComplete()) {
@@ -149,7 +149,7 @@
       if (engineListIsValid.getAsBoolean()) {
         scheduler.startItems(runs.all(), view, this::startOn, nowMs);
         scheduler
-            .leavingSlowEngine(runs.all(), view, nowMs)
+            .itemToMove(runs.all(), view, nowMs)
             .map(ItemRun::stream)
             .ifPresent(stream -> eventLoop.execute(stream::leaveEngine));
       }
@@ -165,8 +165,8 @@
       return;
     }
     long nowMs = clock.monotonicMs();
-    engine.onLoad(load, nowMs);
-    scheduler.yielding(runs.all(), engine, load, nowMs).stream()
+    engine.onLoadReport(load, nowMs);
+    scheduler.itemsToYield(runs.all(), engine, load, nowMs).stream()
         .map(ItemRun::stream)
         .forEach(stream -> eventLoop.execute(stream::yieldSlot));
   }
@@ -185,9 +185,9 @@
     }
   }
 
-  private void checkSilence(long nowMs) {
+  private void abortSilentStreams(long nowMs) {
     for (ItemRun run : runs.all()) {
-      if (run.isRunning() && nowMs - run.stream().lastHeardMs() > SILENCE_MS) {
+      if (run.isRunning() && nowMs - run.stream().lastReceivedMs() > SILENCE_TIMEOUT_MS) {
         ItemStream stream = run.stream();
         run.engine().onFailure(nowMs);
         if (stream.isOver()) {
@@ -195,7 +195,7 @@
           stop(run);
           continue;
         }
-        eventLoop.execute(() -> stream.breakOff("silent for " + SILENCE_MS + " ms"));
+        eventLoop.execute(() -> stream.abort("silent for " + SILENCE_TIMEOUT_MS + " ms"));
       }
     }
   }
@@ -218,7 +218,7 @@
                 concerned.add(run);
               });
       if (run.isRunning()) {
-        askForEvents(run);
+        requestEvents(run);
       }
     }
     if (!progress.isEmpty()) {
@@ -226,28 +226,28 @@
     }
   }
 
-  private void askForEvents(ItemRun run) {
+  private void requestEvents(ItemRun run) {
     ItemStream stream = run.stream();
     long ofTerm = term;
     eventLoop.execute(
-        () -> stream.handOver(events -> consensus.execute(() -> onEvents(run, ofTerm, events))));
+        () -> stream.drainEvents(events -> consensus.execute(() -> onEvents(run, ofTerm, events))));
   }
 
   private void onEvents(ItemRun run, long ofTerm, ItemEvents events) {
     if (ofTerm != term) {
       return;
     }
-    if (!run.keep(events)) {
+    if (!run.appendEvents(events)) {
       restart(run);
     } else if (run.isRunning()) {
-      learnPace(run, clock.monotonicMs());
+      updatePace(run, clock.monotonicMs());
     }
   }
 
-  private void learnPace(ItemRun run, long nowMs) {
+  private void updatePace(ItemRun run, long nowMs) {
     slack.onEvents(run, nowMs);
     EngineState engine = run.engine();
-    run.onPace(engines.pace(engine.instance().service(), nowMs).relative(engine));
+    run.setRelativePace(engines.pace(engine.instance().service(), nowMs).relativePace(engine));
   }
 
   /** Begins an item again from what is recorded. */
@@ -276,9 +276,9 @@
 
   private void giveUpExpired(long nowMs) {
     for (ItemRun run : runs.copy()) {
-      long ageMs = run.leastAgeMs(nowMs);
+      long ageMs = run.minAgeMs(nowMs);
       long retainMs = run.job.submission().retainMs();
-      if (!run.isDecided() && retainMs > 0 && ageMs > retainMs + GIVE_UP_MARGIN_MS) {
+      if (!run.isFinished() && retainMs > 0 && ageMs > retainMs + GIVE_UP_MARGIN_MS) {
         stop(run);
         giveUp(run, "given up after " + ageMs + " ms");
       }
@@ -289,7 +289,7 @@
 
   private void startOn(ItemRun run, EngineState engine, double relativePace) {
     long nowMs = clock.monotonicMs();
-    long slackMs = slack.ofMs(run, relativePace, nowMs);
+    long slackMs = slack.slackMs(run, relativePace, nowMs);
     long ofTerm = term;
     ItemStream[] started = new ItemStream[1];
     ItemStream stream =
@@ -328,10 +328,10 @@
     }
     long nowMs = clock.monotonicMs();
     EngineState engine = run.engine();
-    long tookMs = run.sendMs(nowMs);
+    long tookMs = run.attemptMs(nowMs);
     engine.onEnd();
     run.onStop(nowMs);
-    if (!run.keep(outcome.events())) {
+    if (!run.appendEvents(outcome.events())) {
       restart(run);
       return;
     }
@@ -339,13 +339,13 @@
       ItemLog.retried(run, engine, outcome, tookMs);
     }
     switch (outcome.kind()) {
-      case DONE -> onWhole(run, nowMs);
+      case DONE -> onItemCompleted(run, nowMs);
       case IMPOSSIBLE -> giveUp(run, "impossible");
       case FAILED -> onItemFailed(run, nowMs);
-      case UNCLEAR -> run.waitUntil(nowMs + unclearPauseMs(run.countUnclear()));
+      case UNCLEAR -> run.waitUntil(nowMs + unclearRetryDelayMs(run.countUnclearResponse()));
       case OTHER_INSTANCE -> engine.onGone();
-      case QUARANTINED -> run.waitUntil(nowMs + QUARANTINE_PAUSE_MS);
-      case YIELDED -> run.waitUntil(nowMs + YIELD_PAUSE_MS);
+      case QUARANTINED -> run.waitUntil(nowMs + QUARANTINE_RETRY_DELAY_MS);
+      case YIELDED -> run.waitUntil(nowMs + YIELD_RETRY_DELAY_MS);
       case REFUSED -> {
         engine.onFull(nowMs, outcome.retryAfterMs());
         run.waitUntil(nowMs + outcome.retryAfterMs());
@@ -358,26 +358,26 @@
     if (run.countFailure() >= Math.max(1, run.job.submission().maxAttempts())) {
       giveUp(run, "failed on every attempt");
     } else {
-      run.waitUntil(nowMs + FAILURE_PAUSE_MS);
+      run.waitUntil(nowMs + RETRY_DELAY_MS);
     }
   }
 
   /** Grows with each such answer, so that an item that gets no other does not keep engines busy. */
-  private static long unclearPauseMs(int answers) {
+  private static long unclearRetryDelayMs(int answers) {
     int doublings = Math.min(answers, MAX_DOUBLINGS);
-    return Math.min(FAILURE_PAUSE_MS << doublings, MAX_UNCLEAR_PAUSE_MS);
+    return Math.min(RETRY_DELAY_MS << doublings, MAX_RETRY_DELAY_MS);
   }
 
-  private void onWhole(ItemRun run, long nowMs) {
-    slack.onWhole(run, nowMs);
-    list(run, run.decideWhole(), "whole");
+  private void onItemCompleted(ItemRun run, long nowMs) {
+    slack.onItemCompleted(run, nowMs);
+    proposeOutcome(run, run.finishCompleted(), "whole");
   }
 
   private void giveUp(ItemRun run, String reason) {
-    list(run, run.decideGivenUp(), reason);
+    proposeOutcome(run, run.finishGivenUp(), reason);
   }
 
-  private void list(ItemRun run, BatchOutcome outcome, String reason) {
+  private void proposeOutcome(ItemRun run, BatchOutcome outcome, String reason) {
     long ageMs = state.timeMs() - run.job.submittedAtMs();
     ItemLog.listed(run, outcome.done(), reason, ageMs, run.knownMs(clock.monotonicMs()));
     propose(new ListBatchResults(run.job.submission().jobId(), List.of(outcome)), List.of(run));
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchWindow.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchSlotPolicy.java
@@ -11,9 +11,9 @@
  * fixed share would waste the troughs or fill the crests, while an item that is stopped goes on
  * after its last event and loses little.
  */
-final class BatchWindow {
+final class BatchSlotPolicy {
   /** Room for the requests that come until a report shows them and an item makes room. */
-  private static final double FREE_SHARE = 0.125;
+  private static final double RESERVED_SHARE = 0.125;
 
   private static final int DEFAULT_SLOTS = 8;
 
@@ -21,24 +21,24 @@
    * From this many waiting requests on an engine is too full for the batch items it runs: a request
    * that waits may come late, and an item that is stopped goes on elsewhere.
    */
-  private static final int CROWDED = 1;
+  private static final int MIN_WAITING_TO_YIELD = 1;
 
   /** The same on a slow engine: few online requests come there, and a stop costs an item more. */
-  private static final int SLOW_ENGINE_CROWDED = 2;
+  private static final int SLOW_ENGINE_MIN_WAITING_TO_YIELD = 2;
 
   /** How long a new leader waits for reports, which it asks for every 300 ms. */
   private static final long FIRST_REPORT_WAIT_MS = 1_500;
 
   /** The callers whom a loss of power turned away have come back by then. */
-  private static final long RAMP_MS = 4_000;
+  private static final long RAMP_UP_MS = 4_000;
 
   /**
    * The part of its share that a leader's items take after it has led for {@code leadingForMs}. A
    * new leader has all unfinished items to start at once and finds engines that look free; after a
    * loss of power all callers come back in the same seconds.
    */
-  double shareAfter(long leadingForMs) {
-    return Math.min(1, leadingForMs / (double) RAMP_MS);
+  double rampUpShare(long leadingForMs) {
+    return Math.min(1, leadingForMs / (double) RAMP_UP_MS);
   }
 
   /**
@@ -46,10 +46,10 @@
    *
    * @param part the part of the engine's slots that items of this process may take, up to 1
    */
-  boolean hasRoom(EngineState engine, double part, long nowMs) {
+  boolean hasFreeSlot(EngineState engine, double part, long nowMs) {
     int slots = slots(engine);
     boolean withinPart = engine.inFlight() < Math.max(1, slots * part);
-    return withinPart && engine.estimatedLoad(nowMs) < slots * (1 - FREE_SHARE);
+    return withinPart && engine.estimatedLoad(nowMs) < slots * (1 - RESERVED_SHARE);
   }
 
   /**
@@ -59,7 +59,7 @@
    *
    * @param leadingForMs for how long this store has led, and so has asked for reports
    */
-  boolean knowsLoad(EngineState engine, long leadingForMs, long nowMs) {
+  boolean isLoadKnown(EngineState engine, long leadingForMs, long nowMs) {
     boolean told = engine.loadAgeMs(nowMs) >= 0;
     return told || leadingForMs >= FIRST_REPORT_WAIT_MS;
   }
@@ -68,8 +68,8 @@
    * How many items should make room on an engine with this load. Requests count as waiting until
    * their prompts are read, so those for which slots are free need no more room.
    */
-  int yields(EngineState engine, EngineLoadReport load, boolean slow) {
-    int crowded = slow ? SLOW_ENGINE_CROWDED : CROWDED;
+  int itemsToYield(EngineState engine, EngineLoadReport load, boolean slow) {
+    int crowded = slow ? SLOW_ENGINE_MIN_WAITING_TO_YIELD : MIN_WAITING_TO_YIELD;
     int withoutSlot = load.running() + load.waiting() - slots(engine);
     int needed = Math.min(load.waiting(), withoutSlot);
     return needed < crowded ? 0 : needed;
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemPlacement.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemPlacement.java
@@ -18,7 +18,7 @@
    * What an item needs to spare on an engine when it may be stopped there: a few stops for online
    * requests, each a pause and the way to the next engine.
    */
-  private static final long STOPS_MS = 2_000;
+  private static final long INTERRUPTION_MARGIN_MS = 2_000;
 
   private ItemPlacement() {}
 
@@ -27,7 +27,7 @@
    *
    * @param slackAt for how long the item can wait and still be done in time on an engine
    */
-  static List<EngineState> among(
+  static List<EngineState> candidates(
       List<EngineState> open,
       ServicePace pace,
       ItemUrgency urgency,
@@ -37,9 +37,9 @@
     }
     Predicate<EngineState> isSlow = pace::isSlow;
     return switch (urgency) {
-      case OVERDUE -> preferring(isSlow, open);
+      case LATE -> preferring(isSlow, open);
       case URGENT -> preferring(isSlow.negate(), withSlack(open, slackAt, 0));
-      case PATIENT -> preferring(isSlow, withSlack(open, slackAt, STOPS_MS));
+      case DEFERRABLE -> preferring(isSlow, withSlack(open, slackAt, INTERRUPTION_MARGIN_MS));
     };
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
@@ -20,18 +20,18 @@
   final BatchJob job;
   final BatchItem item;
   private final long knownSinceMs;
-  private final long leastAgeWhenKnownMs;
-  private final boolean beganAtFirstEvent;
-  private final long eventsBefore;
+  private final long minAgeWhenKnownMs;
+  private final boolean startedAtFirstEvent;
+  private final long inheritedEvents;
   private String unrecordedText = "";
   private long recordedEvent;
   private long lastEvent;
   private int failures;
   private int unclearAnswers;
   private long notBeforeMs;
-  private long ranMs;
+  private long normalizedRunMs;
   private long startedMs;
-  private boolean decided;
+  private boolean finished;
 
   /** The send under way and its engine; null when there is none. */
   private ItemStream stream;
@@ -41,8 +41,8 @@
   /** How many times as long as usual work takes at the engine of the send under way. */
   private double relativePace = 1;
 
-  private long pacedEvent;
-  private long pacedMs;
+  private long paceSampleEvent;
+  private long paceSampleMs;
 
   /**
    * Creates the run of an item.
@@ -54,11 +54,11 @@
     this.job = job;
     this.item = item;
     this.knownSinceMs = nowMs;
-    this.leastAgeWhenKnownMs = (logTimeMs - job.submittedAtMs()) / LogTime.MAX_RATE;
+    this.minAgeWhenKnownMs = (logTimeMs - job.submittedAtMs()) / LogTime.MAX_RATE;
     this.recordedEvent = job.progress(item.id()).lastEvent();
     this.lastEvent = recordedEvent;
-    this.beganAtFirstEvent = recordedEvent == BatchProgress.NO_EVENT;
-    this.eventsBefore = recordedEvent - BatchProgress.NO_EVENT;
+    this.startedAtFirstEvent = recordedEvent == BatchProgress.NO_EVENT;
+    this.inheritedEvents = recordedEvent - BatchProgress.NO_EVENT;
   }
 
   /** When the item is due, in the time of the log. */
@@ -67,7 +67,7 @@
   }
 
   boolean mayStart(long nowMs) {
-    return stream == null && !decided && nowMs >= notBeforeMs;
+    return stream == null && !finished && nowMs >= notBeforeMs;
   }
 
   boolean isRunning() {
@@ -87,11 +87,11 @@
     engine = on;
     relativePace = relativePaceThere;
     startedMs = nowMs;
-    pacedEvent = lastEvent;
+    paceSampleEvent = lastEvent;
   }
 
   void onStop(long nowMs) {
-    ranMs = ranMs(nowMs);
+    normalizedRunMs = normalizedRunMs(nowMs);
     stream = null;
     engine = null;
     relativePace = 1;
@@ -101,8 +101,8 @@
    * For how long sends of the item were under way since this store leads. Time at a slow engine
    * counts as what a usual one would have taken for the same work.
    */
-  long ranMs(long nowMs) {
-    return ranMs + (stream == null ? 0 : Math.round((nowMs - startedMs) / relativePace));
+  long normalizedRunMs(long nowMs) {
+    return normalizedRunMs + (stream == null ? 0 : Math.round((nowMs - startedMs) / relativePace));
   }
 
   /** How many times as long as usual work takes where the item runs; 1 when it does not run. */
@@ -111,14 +111,14 @@
   }
 
   /** What is known of the pace where the item runs has changed. */
-  void onPace(double relativePaceThere) {
+  void setRelativePace(double relativePaceThere) {
     relativePace = relativePaceThere;
   }
 
-  private void tellMomentaryPace() {
+  private void reportMomentaryPace() {
     EngineLoadReport load = stream.load();
-    if (load != null && load.paceInHundredths() != EngineLoadReport.PACE_UNKNOWN) {
-      engine.pace().onTold(load.paceInHundredths(), stream.headMs());
+    if (load != null && load.pacePercent() != EngineLoadReport.PACE_UNKNOWN) {
+      engine.pace().onReported(load.pacePercent(), stream.headReceivedMs());
     }
   }
 
@@ -132,37 +132,37 @@
    * that is nearly whole would look as if all of it were left, and urgent, after each change of the
    * leader.
    */
-  long eventsBefore() {
-    return eventsBefore;
+  long inheritedEvents() {
+    return inheritedEvents;
   }
 
   /**
    * Tells the engine's pace and {@code eventTimes} the events since the last time. The first events
    * of a send only begin a span, because the item waited and its prompt was read before them.
    */
-  void tellPace(long nowMs, EventTimeListener eventTimes) {
-    if (engine == null || lastEvent <= pacedEvent) {
+  void reportPace(long nowMs, EventTimeListener eventTimes) {
+    if (engine == null || lastEvent <= paceSampleEvent) {
       return;
     }
-    if (pacedMs <= startedMs) {
-      tellMomentaryPace();
+    if (paceSampleMs <= startedMs) {
+      reportMomentaryPace();
     } else {
-      long events = lastEvent - pacedEvent;
-      long spanMs = nowMs - pacedMs;
+      long events = lastEvent - paceSampleEvent;
+      long spanMs = nowMs - paceSampleMs;
       engine.pace().onStream(events, spanMs, nowMs);
       eventTimes.onEvents(events, Math.round(spanMs / relativePace));
     }
-    pacedEvent = lastEvent;
-    pacedMs = nowMs;
+    paceSampleEvent = lastEvent;
+    paceSampleMs = nowMs;
   }
 
   /** Whether this store has run the item from its first event. */
-  boolean beganAtFirstEvent() {
-    return beganAtFirstEvent;
+  boolean startedAtFirstEvent() {
+    return startedAtFirstEvent;
   }
 
   /** Keeps events of a send; returns false when they do not follow those that are held. */
-  boolean keep(ItemEvents events) {
+  boolean appendEvents(ItemEvents events) {
     if (events.isEmpty()) {
       return true;
     }
@@ -180,7 +180,7 @@
 
   /** The events that were not proposed yet; from now on they count as recorded. */
   Optional<BatchProgress> takeUnrecorded() {
-    if (lastEvent == recordedEvent || decided) {
+    if (lastEvent == recordedEvent || finished) {
       return Optional.empty();
     }
     String jobId = job.submission().jobId();
@@ -192,14 +192,14 @@
   }
 
   /** The outcome of the whole item; nothing more is sent. */
-  BatchOutcome decideWhole() {
-    decided = true;
+  BatchOutcome finishCompleted() {
+    finished = true;
     return new BatchOutcome(item.id(), true, recordedEvent, unrecordedText);
   }
 
   /** The outcome of an item that is given up; nothing more is sent. */
-  BatchOutcome decideGivenUp() {
-    decided = true;
+  BatchOutcome finishGivenUp() {
+    finished = true;
     return BatchOutcome.givenUp(item.id());
   }
 
@@ -213,12 +213,12 @@
    * catches up after an outage: after one of 4 s, an item that may be given up after 3 s was given
    * up after 2.2 s by it.
    */
-  long leastAgeMs(long nowMs) {
-    return leastAgeWhenKnownMs + knownMs(nowMs);
+  long minAgeMs(long nowMs) {
+    return minAgeWhenKnownMs + knownMs(nowMs);
   }
 
   /** For how long the send under way has run. */
-  long sendMs(long nowMs) {
+  long attemptMs(long nowMs) {
     return stream == null ? 0 : nowMs - startedMs;
   }
 
@@ -232,7 +232,7 @@
   }
 
   /** Counts an answer that proves nothing, and returns how many there were. */
-  int countUnclear() {
+  int countUnclearResponse() {
     return ++unclearAnswers;
   }
 
@@ -240,7 +240,7 @@
     notBeforeMs = nextMs;
   }
 
-  boolean isDecided() {
-    return decided;
+  boolean isFinished() {
+    return finished;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRuns.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRuns.java
@@ -32,29 +32,29 @@
    * Follows the jobs: begins a run for each open item, and forgets those that have a result or
    * whose job was ended after giving them to {@code onOver}.
    */
-  void follow(Collection<BatchJob> jobs, Consumer<ItemRun> onOver, long nowMs, long logTimeMs) {
+  void update(Collection<BatchJob> jobs, Consumer<ItemRun> onOver, long nowMs, long logTimeMs) {
     runs.values().removeIf(run -> isOver(run, onOver));
     for (BatchJob job : jobs) {
       if (job.isActive()) {
-        job.open().values().forEach(item -> begin(job, item, nowMs, logTimeMs));
+        job.openItems().values().forEach(item -> addIfAbsent(job, item, nowMs, logTimeMs));
       }
     }
   }
 
   private static boolean isOver(ItemRun run, Consumer<ItemRun> onOver) {
-    boolean over = run.job.isEnded() || !run.job.open().containsKey(run.item.id());
+    boolean over = run.job.isEnded() || !run.job.openItems().containsKey(run.item.id());
     if (over) {
       onOver.accept(run);
     }
     return over;
   }
 
-  private void begin(BatchJob job, BatchItem item, long nowMs, long logTimeMs) {
+  private void addIfAbsent(BatchJob job, BatchItem item, long nowMs, long logTimeMs) {
     ItemKey key = new ItemKey(job.submission().jobId(), item.id());
     runs.computeIfAbsent(key, absent -> new ItemRun(job, item, nowMs, logTimeMs));
   }
 
-  /** Forgets a run; the item begins a new one with the next {@link #follow}. */
+  /** Forgets a run; the item begins a new one with the next {@link #update}. */
   void remove(ItemRun run) {
     runs.remove(key(run), run);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
@@ -1,7 +1,7 @@
 package io.pathdeck.fleet.store;
 
 import io.pathdeck.fleet.adapter.EngineLoadReport;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.engine.Placement;
@@ -29,7 +29,7 @@
    * So many items are looked at in a step for which only engines have room that are too slow; those
    * behind them have more time, but looking at all of a long queue costs processor time.
    */
-  private static final int MOST_UNPLACED = 8;
+  private static final int MAX_UNPLACED = 8;
 
   /** Sends an item to the engine that was chosen for it. */
   interface Starter {
@@ -37,21 +37,21 @@
   }
 
   private final EngineTable engines;
-  private final EngineChoice choice;
+  private final EngineLoadBalancer choice;
   private final ItemSlack slack;
-  private final BatchWindow window = new BatchWindow();
+  private final BatchSlotPolicy slotPolicy = new BatchSlotPolicy();
   private final TrafficSplit split = new TrafficSplit();
-  private long leadsSinceMs;
+  private long leaderSinceMs;
 
-  ItemScheduler(EngineTable engines, EngineChoice choice, ItemSlack slack) {
+  ItemScheduler(EngineTable engines, EngineLoadBalancer choice, ItemSlack slack) {
     this.engines = engines;
     this.choice = choice;
     this.slack = slack;
   }
 
   /** This store began to lead its group. */
-  void onLeading(long nowMs) {
-    leadsSinceMs = nowMs;
+  void onLeadershipGained(long nowMs) {
+    leaderSinceMs = nowMs;
   }
 
   // ---- starts
@@ -61,7 +61,7 @@
     Set<String> fullServices = new HashSet<>();
     int unplaced = 0;
     Map<String, ServicePace> paces = new HashMap<>();
-    for (ItemRun run : waiting(runs, nowMs)) {
+    for (ItemRun run : startableItems(runs, nowMs)) {
       Optional<RouteSpec> route = view.routes().match(run.job.submission().host(), run.item.path());
       if (route.isEmpty()) {
         continue;
@@ -71,16 +71,16 @@
         continue;
       }
       ServicePace pace = paces.computeIfAbsent(service, name -> engines.pace(name, nowMs));
-      List<EngineState> open = open(service, view, nowMs);
-      ItemStart start = startItem(run, open, pace, starter, nowMs);
-      unplaced += start == ItemStart.NO_ENGINE_IN_TIME ? 1 : 0;
-      if (start == ItemStart.NO_ROOM || unplaced > MOST_UNPLACED) {
+      List<EngineState> open = availableEngines(service, view, nowMs);
+      ItemStartResult start = startItem(run, open, pace, starter, nowMs);
+      unplaced += start == ItemStartResult.NO_ENGINE_FAST_ENOUGH ? 1 : 0;
+      if (start == ItemStartResult.NO_FREE_SLOT || unplaced > MAX_UNPLACED) {
         fullServices.add(service);
       }
     }
   }
 
-  private List<ItemRun> waiting(Collection<ItemRun> runs, long nowMs) {
+  private List<ItemRun> startableItems(Collection<ItemRun> runs, long nowMs) {
     List<ItemRun> waiting = new ArrayList<>();
     for (ItemRun run : runs) {
       if (run.mayStart(nowMs)) {
@@ -92,44 +92,45 @@
   }
 
   /** Engines on which an item may start. */
-  private List<EngineState> open(String service, FleetView view, long nowMs) {
+  private List<EngineState> availableEngines(String service, FleetView view, long nowMs) {
     int groups = Math.max(1, view.jobsFounders().size());
-    long leadingForMs = nowMs - leadsSinceMs;
-    double part = window.shareAfter(leadingForMs) / groups;
+    long leadingForMs = nowMs - leaderSinceMs;
+    double part = slotPolicy.rampUpShare(leadingForMs) / groups;
     return engines.usable(service, Set.of(), nowMs).stream()
-        .filter(engine -> window.knowsLoad(engine, leadingForMs, nowMs))
-        .filter(engine -> window.hasRoom(engine, part, nowMs))
+        .filter(engine -> slotPolicy.isLoadKnown(engine, leadingForMs, nowMs))
+        .filter(engine -> slotPolicy.hasFreeSlot(engine, part, nowMs))
         .toList();
   }
 
   /** Starts an item where it is best placed. */
-  private ItemStart startItem(
+  private ItemStartResult startItem(
       ItemRun run, List<EngineState> open, ServicePace pace, Starter starter, long nowMs) {
     if (open.isEmpty()) {
-      return ItemStart.NO_ROOM;
+      return ItemStartResult.NO_FREE_SLOT;
     }
     ItemUrgency urgency = slack.urgency(run, nowMs);
-    ToLongFunction<EngineState> slackAt = engine -> slack.ofMs(run, pace.relative(engine), nowMs);
-    List<EngineState> preferred = ItemPlacement.among(open, pace, urgency, slackAt);
+    ToLongFunction<EngineState> slackAt =
+        engine -> slack.slackMs(run, pace.relativePace(engine), nowMs);
+    List<EngineState> preferred = ItemPlacement.candidates(open, pace, urgency, slackAt);
     Optional<Placement> chosen = choice.choose(preferred, pace, Prompt.UNKNOWN, nowMs);
     if (chosen.isEmpty()) {
-      return ItemStart.NO_ENGINE_IN_TIME;
+      return ItemStartResult.NO_ENGINE_FAST_ENOUGH;
     }
     EngineState engine = chosen.get().engine();
-    starter.start(run, engine, pace.relative(engine));
-    return ItemStart.STARTED;
+    starter.start(run, engine, pace.relativePace(engine));
+    return ItemStartResult.STARTED;
   }
 
   // ---- stops
 
   /** The items that make room on an engine whose report has just come, to be stopped at once. */
-  List<ItemRun> yielding(
+  List<ItemRun> itemsToYield(
       Collection<ItemRun> runs, EngineState engine, EngineLoadReport load, long nowMs) {
     boolean slow = engines.pace(engine.instance().service(), nowMs).isSlow(engine);
     return runs.stream()
         .filter(run -> run.isRunning() && run.engine() == engine)
         .sorted(slack.startOrder(nowMs).reversed())
-        .limit(window.yields(engine, load, slow))
+        .limit(slotPolicy.itemsToYield(engine, load, slow))
         .toList();
   }
 
@@ -137,20 +138,20 @@
    * An item that cannot be done in time where it runs but can elsewhere, when an engine that is not
    * slow has room; one at a time, so that the room is taken before the next one is stopped.
    */
-  Optional<ItemRun> leavingSlowEngine(Collection<ItemRun> runs, FleetView view, long nowMs) {
+  Optional<ItemRun> itemToMove(Collection<ItemRun> runs, FleetView view, long nowMs) {
     return runs.stream()
-        .filter(run -> run.isRunning() && slack.isInTimeElsewhere(run, nowMs))
-        .filter(run -> mayLeave(run, view, nowMs))
+        .filter(run -> run.isRunning() && slack.canBeOnTimeElsewhere(run, nowMs))
+        .filter(run -> canMove(run, view, nowMs))
         .findFirst();
   }
 
-  private boolean mayLeave(ItemRun run, FleetView view, long nowMs) {
+  private boolean canMove(ItemRun run, FleetView view, long nowMs) {
     String service = run.engine().instance().service();
     ServicePace pace = engines.pace(service, nowMs);
-    return pace.isSlow(run.engine()) && hasUsualEngine(service, pace, view, nowMs);
+    return pace.isSlow(run.engine()) && hasFasterEngine(service, pace, view, nowMs);
   }
 
-  private boolean hasUsualEngine(String service, ServicePace pace, FleetView view, long nowMs) {
-    return open(service, view, nowMs).stream().anyMatch(engine -> !pace.isSlow(engine));
+  private boolean hasFasterEngine(String service, ServicePace pace, FleetView view, long nowMs) {
+    return availableEngines(service, view, nowMs).stream().anyMatch(engine -> !pace.isSlow(engine));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
@@ -1,12 +1,12 @@
 package io.pathdeck.fleet.store;
 
-import io.pathdeck.fleet.adapter.EngineAnswer;
 import io.pathdeck.fleet.adapter.EngineCall;
 import io.pathdeck.fleet.adapter.EngineLoadReport;
+import io.pathdeck.fleet.adapter.EngineResponse;
 import io.pathdeck.fleet.engine.EngineFailure;
 import io.pathdeck.fleet.engine.EngineListener;
 import io.pathdeck.fleet.engine.EngineTransport;
-import io.pathdeck.fleet.engine.EventScanner;
+import io.pathdeck.fleet.engine.SseEventScanner;
 import java.io.ByteArrayOutputStream;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -22,21 +22,21 @@
   private static final long DEFAULT_RETRY_AFTER_MS = 100;
 
   private final Consumer<ItemOutcome> listener;
-  private final EventScanner scanner;
+  private final SseEventScanner scanner;
   private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
   private EngineTransport.Handle handle;
-  private EngineAnswer answer;
+  private EngineResponse answer;
   private volatile EngineLoadReport load;
-  private volatile long headMs;
-  private long handedOverEvent;
+  private volatile long headReceivedMs;
+  private long lastDrainedEvent;
   private volatile boolean over;
-  private volatile long lastHeardMs;
+  private volatile long lastReceivedMs;
 
   ItemStream(long resumeAfter, Consumer<ItemOutcome> listener) {
-    this.scanner = new EventScanner(resumeAfter);
-    this.handedOverEvent = resumeAfter;
+    this.scanner = new SseEventScanner(resumeAfter);
+    this.lastDrainedEvent = resumeAfter;
     this.listener = listener;
-    this.lastHeardMs = nowMs();
+    this.lastReceivedMs = nowMs();
   }
 
   private static long nowMs() {
@@ -58,21 +58,21 @@
   }
 
   /** Gives the send up as broken, so that the item goes on elsewhere. */
-  void breakOff(String reason) {
-    giveUp(ItemOutcome.Kind.BROKEN, reason);
+  void abort(String reason) {
+    cancelAndFinish(ItemOutcome.Kind.BROKEN, reason);
   }
 
   /** Gives the send up to make room; the item goes on later where it stopped. */
   void yieldSlot() {
-    giveUp(ItemOutcome.Kind.YIELDED, "room for online requests");
+    cancelAndFinish(ItemOutcome.Kind.YIELDED, "room for online requests");
   }
 
   /** Gives the send up because the item would be late here; it goes on elsewhere. */
   void leaveEngine() {
-    giveUp(ItemOutcome.Kind.YIELDED, "too slow to be in time");
+    cancelAndFinish(ItemOutcome.Kind.YIELDED, "too slow to be in time");
   }
 
-  private void giveUp(ItemOutcome.Kind kind, String reason) {
+  private void cancelAndFinish(ItemOutcome.Kind kind, String reason) {
     if (!over) {
       if (handle != null) {
         handle.cancel();
@@ -82,7 +82,7 @@
   }
 
   /** Hands the whole events of a running send over that were not handed over before. */
-  void handOver(Consumer<ItemEvents> receiver) {
+  void drainEvents(Consumer<ItemEvents> receiver) {
     ItemEvents events = over ? null : takeEvents();
     if (events != null && !events.isEmpty()) {
       receiver.accept(events);
@@ -90,11 +90,11 @@
   }
 
   private ItemEvents takeEvents() {
-    String text = EventScanner.dataOf(collected.toByteArray());
+    String text = SseEventScanner.dataOf(collected.toByteArray());
     collected.reset();
-    long afterEvent = handedOverEvent;
-    handedOverEvent = Math.max(afterEvent, scanner.lastId());
-    return new ItemEvents(afterEvent, handedOverEvent, text);
+    long afterEvent = lastDrainedEvent;
+    lastDrainedEvent = Math.max(afterEvent, scanner.lastId());
+    return new ItemEvents(afterEvent, lastDrainedEvent, text);
   }
 
   /** Whether the send has ended; may be read from any thread. */
@@ -103,8 +103,8 @@
   }
 
   /** When something was last heard of the send; may be read from any thread. */
-  long lastHeardMs() {
-    return lastHeardMs;
+  long lastReceivedMs() {
+    return lastReceivedMs;
   }
 
   /** The engine's load when the answer began; null when not told; may be read from any thread. */
@@ -113,15 +113,15 @@
   }
 
   /** When the answer began; may be read from any thread. */
-  long headMs() {
-    return headMs;
+  long headReceivedMs() {
+    return headReceivedMs;
   }
 
   @Override
-  public void onHead(EngineAnswer head) {
-    lastHeardMs = nowMs();
+  public void onHead(EngineResponse head) {
+    lastReceivedMs = nowMs();
     answer = head;
-    headMs = lastHeardMs;
+    headReceivedMs = lastReceivedMs;
     load = head.load();
   }
 
@@ -131,13 +131,13 @@
 
   @Override
   public void onBody(byte[] part) {
-    lastHeardMs = nowMs();
+    lastReceivedMs = nowMs();
     if (over || !isSuccess()) {
       return;
     }
     collected.writeBytes(scanner.feed(part));
     if (scanner.problem() != null) {
-      breakOff(scanner.problem());
+      abort(scanner.problem());
     }
   }
 
@@ -147,9 +147,9 @@
       return;
     }
     if (isSuccess()) {
-      boolean whole = !scanner.isInsideEvent();
+      boolean whole = !scanner.hasPartialEvent();
       finish(whole ? ItemOutcome.Kind.DONE : ItemOutcome.Kind.BROKEN, "ended");
-    } else if (answer.otherInstance()) {
+    } else if (answer.wrongInstance()) {
       finish(ItemOutcome.Kind.OTHER_INSTANCE, "another engine");
     } else if (answer.notRun()) {
       finish(ItemOutcome.Kind.REFUSED, "refused with " + answer.status());
@@ -173,7 +173,7 @@
     if (failure == EngineFailure.QUARANTINED) {
       return ItemOutcome.Kind.QUARANTINED;
     }
-    return failure.isNotRun() ? ItemOutcome.Kind.REFUSED : ItemOutcome.Kind.BROKEN;
+    return failure.requestDidNotRun() ? ItemOutcome.Kind.REFUSED : ItemOutcome.Kind.BROKEN;
   }
 
   private void finish(ItemOutcome.Kind kind, String reason) {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemUrgency.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemUrgency.java
@@ -5,12 +5,12 @@
   /** Can be done when it is due, but not if it waits any longer. */
   URGENT,
   /** Can wait and still be done when it is due. */
-  PATIENT,
+  DEFERRABLE,
   /**
    * Cannot be done when it is due any more. Its result is still wanted, but nobody gains when items
    * that can be in time, or online requests, wait for it.
    */
-  OVERDUE;
+  LATE;
 
   /** With less than this to spare an item is urgent: a few stops and the way to other engines. */
   private static final long URGENT_SLACK_MS = 4_000;
@@ -22,8 +22,8 @@
    */
   static ItemUrgency of(long slackMs) {
     if (slackMs < 0) {
-      return OVERDUE;
+      return LATE;
     }
-    return slackMs < URGENT_SLACK_MS ? URGENT : PATIENT;
+    return slackMs < URGENT_SLACK_MS ? URGENT : DEFERRABLE;
   }
 }
