--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobSubmissions.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobSubmissions.java
@@ -25,7 +25,7 @@
   private final ControllerClock clock;
 
   /** Who waits for the outcome of each job that is in the log but not applied yet. */
-  private final Map<String, List<ReplySink>> undecided = new HashMap<>();
+  private final Map<String, List<ReplySink>> pendingReplies = new HashMap<>();
 
   JobSubmissions(GroupRuntime group, BatchStateMachine state, ControllerClock clock) {
     this.group = group;
@@ -35,7 +35,7 @@
 
   void submit(SubmitBatch submission, ReplySink reply) {
     String jobId = submission.jobId();
-    List<ReplySink> waiting = undecided.get(jobId);
+    List<ReplySink> waiting = pendingReplies.get(jobId);
     if (waiting != null) {
       waiting.add(reply);
     } else if (state.job(jobId).isPresent()) {
@@ -48,11 +48,11 @@
 
   private void propose(SubmitBatch submission, ReplySink reply) {
     List<ReplySink> waiting = new ArrayList<>(List.of(reply));
-    undecided.put(submission.jobId(), waiting);
-    group.propose("", 0, submission, answer -> decide(submission.jobId(), answer), clock);
+    pendingReplies.put(submission.jobId(), waiting);
+    group.propose("", 0, submission, answer -> completeReplies(submission.jobId(), answer), clock);
   }
 
-  private void decide(String jobId, Message answer) {
-    undecided.remove(jobId).forEach(reply -> reply.reply(answer));
+  private void completeReplies(String jobId, Message answer) {
+    pendingReplies.remove(jobId).forEach(reply -> reply.reply(answer));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
@@ -13,12 +13,12 @@
 import io.pathdeck.control.ReplicaHost;
 import io.pathdeck.fleet.FleetSettings;
 import io.pathdeck.fleet.adapter.EngineProtocol;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.NettyEngineTransport;
 import io.pathdeck.fleet.member.FleetView;
 import io.pathdeck.fleet.member.MemberIds;
 import io.pathdeck.fleet.member.PeerPool;
-import io.pathdeck.fleet.quarantine.EngineEndReporter;
+import io.pathdeck.fleet.quarantine.EngineCrashReporter;
 import io.pathdeck.protocol.command.SubmitBatch;
 import io.pathdeck.protocol.fleet.JobsGroupReport;
 import io.pathdeck.protocol.message.Message;
@@ -38,7 +38,7 @@
 /** A store's replica of the one group of batch jobs that it keeps; runs items while it leads. */
 final class JobsReplica implements AutoCloseable {
   /** The answer to a call about a group that the store does not keep: ask another member. */
-  static final NotLeader ANOTHER_MEMBER = new NotLeader(RecoveredState.NO_VOTE, "");
+  static final NotLeader NOT_A_MEMBER = new NotLeader(RecoveredState.NO_REPLICA, "");
 
   private static final long SNAPSHOT_THRESHOLD_BYTES = 16L * 1024 * 1024;
   private static final long MAX_SEGMENT_BYTES = 16L * 1024 * 1024;
@@ -46,7 +46,7 @@
   private final int number;
   private final ReplicaHost host;
   private final PeerPool pool;
-  private final BatchReads reads;
+  private final BatchResultReads reads;
   private final JobSubmissions submissions;
   private final BatchRunner runner;
   private final ResourceStack resources = new ResourceStack();
@@ -60,12 +60,12 @@
       EventLoop eventLoop,
       String zone,
       EngineProtocol engines,
-      EngineEndReporter reporter,
+      EngineCrashReporter reporter,
       BooleanSupplier engineListIsValid) {
     this.number = number;
     this.host = host;
     this.pool = pool;
-    this.reads = new BatchReads(host.group(), state);
+    this.reads = new BatchResultReads(host.group(), state);
     this.submissions = new JobSubmissions(host.group(), state, host.clock());
     this.runner =
         new BatchRunner(
@@ -76,7 +76,7 @@
             new NettyEngineTransport(eventLoop, engines),
             engines,
             reporter,
-            new EngineChoice(zone, System.nanoTime()),
+            new EngineLoadBalancer(zone, System.nanoTime()),
             engineListIsValid,
             host::execute);
   }
@@ -89,7 +89,7 @@
       PeerPool pool,
       EventLoop eventLoop,
       EngineProtocol engines,
-      EngineEndReporter reporter,
+      EngineCrashReporter reporter,
       BooleanSupplier engineListIsValid) {
     BatchStateMachine state = new BatchStateMachine();
     return ReplicaHost.open(options(number, fleet, state), folder, pool)
@@ -111,7 +111,7 @@
     String address = fleet.listen().toString();
     JoinSettings join =
         new JoinSettings(
-            Set.of(), Set.of(), address, MembershipPolicy.openFor(fleet.toleratedLosses()));
+            Set.of(), Set.of(), address, MembershipPolicy.openTolerating(fleet.toleratedLosses()));
     return new ReplicaHost.Options(
         number, MemberIds.of(address), join, state, SNAPSHOT_THRESHOLD_BYTES, MAX_SEGMENT_BYTES);
   }
@@ -162,14 +162,13 @@
   void onChange(FleetView view) {
     Set<Member> members = view.knownMembersOf(number);
     members.forEach(member -> pool.learn(member.id(), member.address()));
-    host.execute(() -> follow(view, members));
+    host.execute(() -> applyView(view, members));
   }
 
-  private void follow(FleetView view, Set<Member> members) {
+  private void applyView(FleetView view, Set<Member> members) {
     GroupRuntime group = host.group();
     view.foundersOf(number)
-        .ifPresent(
-            founders -> group.replica().adoptBootstrap(founders, host.clock().monotonicMs()));
+        .ifPresent(founders -> group.replica().bootstrap(founders, host.clock().monotonicMs()));
     group.replica().addContacts(members.stream().map(Member::id).collect(Collectors.toSet()));
     group.replica().setLeaving(Set.copyOf(view.leavingMembers()));
     runner.onChange(view);
@@ -177,8 +176,8 @@
 
   /** Handles a message of another process. */
   void handle(Message message, ReplySink reply) {
-    if (isOfAnotherGroup(message)) {
-      reply.reply(ANOTHER_MEMBER);
+    if (isForAnotherGroup(message)) {
+      reply.reply(NOT_A_MEMBER);
     } else if (message instanceof QueryRequest request
         && request.query() instanceof ReadBatchResults read) {
       execute(() -> reads.read(read, reply, host.clock().monotonicMs()), reply);
@@ -190,7 +189,7 @@
     }
   }
 
-  private boolean isOfAnotherGroup(Message message) {
+  private boolean isForAnotherGroup(Message message) {
     if (message instanceof QueryRequest request) {
       return request.group() != number;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/LoadPolls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/LoadPolls.java
@@ -14,33 +14,33 @@
  * what a request can wait for the report, its way and the stop.
  */
 final class LoadPolls {
-  static final long RUNNING_INTERVAL_MS = 100;
-  static final long OTHER_INTERVAL_MS = 300;
+  static final long BUSY_INTERVAL_MS = 100;
+  static final long IDLE_INTERVAL_MS = 300;
 
-  private final Consumer<EngineInstance> ask;
-  private long nextRunningMs;
-  private long nextOthersMs;
+  private final Consumer<EngineInstance> requestReport;
+  private long nextBusyPollMs;
+  private long nextIdlePollMs;
 
   /** Asks engines by {@code ask}. */
   LoadPolls(Consumer<EngineInstance> ask) {
-    this.ask = ask;
+    this.requestReport = ask;
   }
 
   /** Asks those engines whose turn it is; those without items only while {@code itemsWait}. */
   void onStep(Collection<EngineState> engines, boolean itemsWait, long nowMs) {
-    boolean running = nowMs >= nextRunningMs;
-    boolean others = itemsWait && nowMs >= nextOthersMs;
+    boolean running = nowMs >= nextBusyPollMs;
+    boolean others = itemsWait && nowMs >= nextIdlePollMs;
     for (EngineState engine : engines) {
       boolean isDue = engine.inFlight() > 0 ? running : others;
-      if (isDue && !engine.isAway(nowMs)) {
-        ask.accept(engine.instance());
+      if (isDue && !engine.isOutOfService(nowMs)) {
+        requestReport.accept(engine.instance());
       }
     }
     if (running) {
-      nextRunningMs = nowMs + RUNNING_INTERVAL_MS;
+      nextBusyPollMs = nowMs + BUSY_INTERVAL_MS;
     }
     if (others) {
-      nextOthersMs = nowMs + OTHER_INTERVAL_MS;
+      nextIdlePollMs = nowMs + IDLE_INTERVAL_MS;
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
@@ -19,7 +19,7 @@
 import io.pathdeck.fleet.member.MemberIds;
 import io.pathdeck.fleet.member.PeerPool;
 import io.pathdeck.fleet.metrics.MemberMetrics;
-import io.pathdeck.fleet.quarantine.EngineEndReporter;
+import io.pathdeck.fleet.quarantine.EngineCrashReporter;
 import io.pathdeck.protocol.fleet.FleetProcess;
 import io.pathdeck.protocol.fleet.FleetRole;
 import io.pathdeck.protocol.message.Message;
@@ -50,7 +50,7 @@
   private PeerPool pool;
   private CoordinatorContacts contacts;
   private FleetFollower follower;
-  private EngineEndReporter reporter;
+  private EngineCrashReporter reporter;
 
   /** The replica of this store's group; null while the store has none. */
   private volatile JobsReplica replica;
@@ -86,9 +86,9 @@
     eventLoop = eventLoops.next();
     pool = resources.push(new PeerPool(eventLoops, tls, fleet.peerCompression()));
     contacts = new CoordinatorContacts(fleet, pool, eventLoops);
-    follower = contacts.follower(eventLoop, () -> describe(mayFound));
+    follower = contacts.follower(eventLoop, () -> selfReport(mayFound));
     follower.onChange(this::onChange);
-    reporter = new EngineEndReporter(eventLoop, contacts.client(), follower::reportNow);
+    reporter = new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
     follower.onNewLeader(reporter::onNewLeader);
     Result<Void, StorageError> recovered = recoverReplica();
     if (!recovered.isOk()) {
@@ -116,7 +116,7 @@
     return Result.ok(null);
   }
 
-  private FleetFollower.SelfReport describe(boolean mayFound) {
+  private FleetFollower.SelfReport selfReport(boolean mayFound) {
     FleetSettings fleet = settings.fleet();
     String address = fleet.listen().toString();
     JobsReplica own = replica;
@@ -205,7 +205,7 @@
     if (own != null) {
       own.handle(message, reply);
     } else if (message instanceof ProposeRequest || message instanceof QueryRequest) {
-      reply.reply(JobsReplica.ANOTHER_MEMBER);
+      reply.reply(JobsReplica.NOT_A_MEMBER);
     }
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestNamedGateways.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelectionMetrics.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-class TestNamedGateways {
-  private static final GatewayNaming HALF = new GatewayNaming(0.5);
+class TestGatewaySelectionMetrics {
+  private static final GatewaySelector HALF = new GatewaySelector(0.5);
 
   private static List<FleetProcess> zone(String zone, int count, double cores, boolean ready) {
     List<FleetProcess> gateways = new ArrayList<>();
@@ -25,26 +25,26 @@
   }
 
   @Test
-  void eachZoneCountsForTheRuleByWhichItsGatewaysAreNamed() {
+  void countsEachZoneByItsSelectionRule() {
     List<FleetProcess> gateways = zone("a", 4, 1, true);
     gateways.addAll(zone("a", 13, 0.25, true));
     gateways.addAll(zone("b", 20, 0.25, true));
-    assertThat(NamedGateways.count(gateways, HALF, true)).isEqualTo(4);
-    assertThat(NamedGateways.count(gateways, HALF, false)).isEqualTo(10);
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, true)).isEqualTo(4);
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, false)).isEqualTo(10);
   }
 
   @Test
-  void gatewaysThatAreNotReadyAreNotNamed() {
+  void ignoresGatewaysThatAreNotReady() {
     List<FleetProcess> gateways = zone("a", 4, 1, false);
     gateways.addAll(zone("a", 13, 0.25, true));
-    assertThat(NamedGateways.count(gateways, HALF, true)).isZero();
-    assertThat(NamedGateways.count(gateways, HALF, false)).isEqualTo(7);
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, true)).isZero();
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, false)).isEqualTo(7);
   }
 
   @Test
-  void bothAreServedAlsoAfterCollectionsOfGarbageAndWhileNothingIsKnown() {
+  void gaugesSurviveGarbageCollection() {
     SimpleMeterRegistry registry = new SimpleMeterRegistry();
-    NamedGateways.bind(registry, new AtomicReference<>(FleetView.UNKNOWN)::get, HALF);
+    GatewaySelectionMetrics.bind(registry, new AtomicReference<>(FleetView.EMPTY)::get, HALF);
     System.gc();
     for (String by : List.of("size", "order")) {
       assertThat(registry.get("pathdeck.gateways.named").tag("by", by).gauge().value()).isZero();
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewayNaming.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelector.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Which gateways callers are told of. */
-class TestGatewayNaming {
-  private static final GatewayNaming HALF = new GatewayNaming(0.5);
+class TestGatewaySelector {
+  private static final GatewaySelector HALF = new GatewaySelector(0.5);
 
   private static final double SMALL = 0.25;
   private static final double LARGE = 1;
@@ -39,44 +39,45 @@
     return gateways;
   }
 
-  private static long countOf(List<FleetProcess> gateways, double cores) {
+  private static long countWithCores(List<FleetProcess> gateways, double cores) {
     return gateways.stream().filter(gateway -> gateway.cores() == cores).count();
   }
 
   /** What gateways bear that get as many requests each. */
-  private static double borneCores(List<FleetProcess> named) {
+  private static double capacityInCores(List<FleetProcess> named) {
     return named.size() * named.stream().mapToDouble(FleetProcess::cores).min().orElse(0);
   }
 
   @Test
-  void aSmallFleetNamesAll() {
-    assertThat(HALF.choose(gateways(GatewayNaming.MIN_NAMED))).hasSize(GatewayNaming.MIN_NAMED);
+  void smallFleetSelectsAll() {
+    assertThat(HALF.select(gateways(GatewaySelector.MIN_SELECTED)))
+        .hasSize(GatewaySelector.MIN_SELECTED);
   }
 
   @Test
-  void aShareOfManyIsNamedInAnyOrderTheSame() {
+  void selectsSameShareInAnyOrder() {
     List<FleetProcess> ready = gateways(47);
-    List<FleetProcess> named = HALF.choose(ready);
+    List<FleetProcess> named = HALF.select(ready);
     Collections.shuffle(ready, new Random(1));
     assertThat(named).hasSize(24);
-    assertThat(HALF.choose(ready)).isEqualTo(named);
+    assertThat(HALF.select(ready)).isEqualTo(named);
   }
 
   @Test
-  void anotherTakesThePlaceOfOneThatIsLostAndTheOthersStay() {
+  void replacesLostGatewayAndKeepsOthers() {
     List<FleetProcess> ready = gateways(20);
-    List<FleetProcess> named = HALF.choose(ready);
+    List<FleetProcess> named = HALF.select(ready);
     ready.remove(named.get(3));
-    List<FleetProcess> after = HALF.choose(ready);
+    List<FleetProcess> after = HALF.select(ready);
     assertThat(after).hasSize(10).doesNotContain(named.get(3));
     assertThat(after).containsAll(named.stream().filter(g -> !g.equals(named.get(3))).toList());
   }
 
   @Test
-  void gatewaysOfEqualSizeAreNamedAsIfTheyToldNone() {
+  void equalSizesSelectLikeUnknownSizes() {
     for (int count : new int[] {1, 5, 6, 13, 47}) {
-      List<String> untold = names(HALF.choose(gateways(count)));
-      assertThat(names(HALF.choose(gateways("front-", count, SMALL)))).isEqualTo(untold);
+      List<String> untold = names(HALF.select(gateways(count)));
+      assertThat(names(HALF.select(gateways("front-", count, SMALL)))).isEqualTo(untold);
     }
   }
 
@@ -85,73 +86,74 @@
   }
 
   @Test
-  void oneThatTellsNoSizeMakesAllAsIfTheyToldNone() {
+  void oneUnknownSizeDisablesSelectionBySize() {
     List<FleetProcess> ready = zone(4, 13);
     ready.addAll(gateways(1));
-    assertThat(HALF.choose(ready)).hasSize(9);
+    assertThat(HALF.select(ready)).hasSize(9);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {3, 12, 13, 16, 25})
-  void largeGatewaysAloneAreNamedWhileTheyAreEnough(int small) {
-    List<FleetProcess> named = HALF.choose(zone(4, small));
+  void selectsOnlyLargeGatewaysWhenSufficient(int small) {
+    List<FleetProcess> named = HALF.select(zone(4, small));
     assertThat(named).hasSize(4);
-    assertThat(countOf(named, LARGE)).isEqualTo(4);
+    assertThat(countWithCores(named, LARGE)).isEqualTo(4);
   }
 
   @Test
-  void noMoreLargeGatewaysAreNamedThanAreNeeded() {
-    assertThat(HALF.choose(zone(10, 13))).hasSize(GatewayNaming.MIN_NAMED_BY_SIZE);
-    assertThat(HALF.choose(zone(10, 40))).hasSize(7);
+  void selectsNoMoreLargeGatewaysThanNeeded() {
+    assertThat(HALF.select(zone(10, 13))).hasSize(GatewaySelector.MIN_SELECTED_BY_SIZE);
+    assertThat(HALF.select(zone(10, 40))).hasSize(7);
   }
 
   @Test
-  void coordinatorsThatListGatewaysInOtherOrdersNameTheSame() {
+  void mixedSizesSelectSameInAnyOrder() {
     for (int large = 0; large <= 4; large++) {
       List<FleetProcess> ready = zone(large, 13);
-      List<FleetProcess> named = HALF.choose(ready);
+      List<FleetProcess> named = HALF.select(ready);
       Collections.shuffle(ready, new Random(large));
-      assertThat(HALF.choose(ready)).isEqualTo(named);
+      assertThat(HALF.select(ready)).isEqualTo(named);
     }
   }
 
   @Test
-  void smallGatewaysTakeThePlaceOfLargeOnesThatAreLost() {
+  void smallGatewaysReplaceLostLargeOnes() {
     for (int large = 0; large < 4; large++) {
       List<FleetProcess> ready = zone(large, 13);
-      List<FleetProcess> named = HALF.choose(ready);
-      int before = Math.max(GatewayNaming.MIN_NAMED, (ready.size() + 1) / 2);
-      assertThat(countOf(named, LARGE)).isEqualTo(large);
+      List<FleetProcess> named = HALF.select(ready);
+      int before = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
+      assertThat(countWithCores(named, LARGE)).isEqualTo(large);
       assertThat(named).hasSize(before);
     }
   }
 
   @Test
-  void afterTheLossOfAnyTwoTheOthersBearHalfOfWhatIsNeeded() {
+  void losingTwoLeavesHalfTheNeededCapacity() {
     for (int large = 0; large <= 6; large++) {
       for (int small = 4; small <= 40; small++) {
         List<FleetProcess> ready = zone(large, small);
-        List<FleetProcess> named = HALF.choose(ready);
-        int before = Math.max(GatewayNaming.MIN_NAMED, (ready.size() + 1) / 2);
+        List<FleetProcess> named = HALF.select(ready);
+        int before = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
         double needed = Math.min(before, ready.size()) * SMALL;
-        assertThat(borneCores(named)).isGreaterThanOrEqualTo(needed);
+        assertThat(capacityInCores(named)).isGreaterThanOrEqualTo(needed);
         assertThat(named.size()).isLessThanOrEqualTo(before);
-        assertThat(borneCores(named.subList(2, named.size()))).isGreaterThanOrEqualTo(needed / 2);
+        assertThat(capacityInCores(named.subList(2, named.size())))
+            .isGreaterThanOrEqualTo(needed / 2);
       }
     }
   }
 
   @Test
-  void aFewGatewaysAreAllNamedWhateverTheirSizes() {
-    assertThat(HALF.choose(zone(1, 2))).hasSize(3);
-    assertThat(HALF.choose(zone(2, 3))).hasSize(5);
-    assertThat(HALF.choose(List.of())).isEmpty();
+  void fewGatewaysOfAnySizeAreAllSelected() {
+    assertThat(HALF.select(zone(1, 2))).hasSize(3);
+    assertThat(HALF.select(zone(2, 3))).hasSize(5);
+    assertThat(HALF.select(List.of())).isEmpty();
   }
 
   @Test
-  void shareOfOneNamesAllUnlessLargeOnesBearAsMuch() {
-    GatewayNaming all = new GatewayNaming(1);
-    assertThat(all.choose(zone(4, 13))).hasSize(17);
-    assertThat(all.choose(zone(4, 12))).hasSize(4);
+  void shareOneSelectsAllUnlessLargeSuffice() {
+    GatewaySelector all = new GatewaySelector(1);
+    assertThat(all.select(zone(4, 13))).hasSize(17);
+    assertThat(all.select(zone(4, 12))).hasSize(4);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupFounding.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupFounding.java
@@ -34,14 +34,14 @@
   }
 
   @Test
-  void groupHasOneMemberMoreThanItNeeds() {
+  void groupHasOneSpareMember() {
     assertThat(sizes(JobsGroupFounding.form(stores(12, 5), TWO_LOSSES))).containsExactly(6, 6);
     assertThat(sizes(JobsGroupFounding.form(stores(45, 5), TWO_LOSSES)))
         .containsExactly(6, 6, 6, 6, 6, 6, 6);
   }
 
   @Test
-  void storesBeyondTheGroupsWait() {
+  void surplusStoresJoinNoGroup() {
     assertThat(sizes(JobsGroupFounding.form(stores(10, 3), TWO_LOSSES))).containsExactly(6);
   }
 
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void groupsShareNoStoreAndAreNumberedFromOne() {
+  void groupsAreDisjointAndNumberedFromOne() {
     List<JobsGroupFounders> groups = JobsGroupFounding.form(stores(12, 5), TWO_LOSSES);
     Set<Integer> seen = new HashSet<>();
     for (JobsGroupFounders group : groups) {
@@ -67,7 +67,7 @@
   /** A zone must not hold half of a group if that can be helped: its loss would stop the group. */
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 4, 5, 6})
-  void groupIsSpreadOverAsManyZonesAsThereAre(int zones) {
+  void groupSpansAllZones(int zones) {
     List<FleetProcess> stores = stores(12, zones);
     for (JobsGroupFounders group : JobsGroupFounding.form(stores, TWO_LOSSES)) {
       long spread =
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupRegistry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupRegistry.java
@@ -16,7 +16,7 @@
 /** Which group a store is told to keep. */
 class TestJobsGroupRegistry {
   private static final int TARGET = 3;
-  private static final int NEWCOMER = 40;
+  private static final int NEW_STORE = 40;
   private static final long NOW_MS = 10_000;
 
   private final JobsGroupRegistry registry = new JobsGroupRegistry(TARGET);
@@ -47,7 +47,7 @@
     return new GroupConfiguration(members);
   }
 
-  private void lose(int id) {
+  private void removeStore(int id) {
     alive.removeIf(store -> store.memberId() == id);
   }
 
@@ -60,85 +60,85 @@
   }
 
   @Test
-  void firstMemberIsToldItsGroup() {
+  void assignsFounderToItsGroup() {
     assertThat(groupFor(21, NOW_MS)).isEqualTo(2);
   }
 
   @Test
-  void storeKeepsTheGroupThatItReports() {
-    assertThat(registry.groupFor(store(NEWCOMER, 2), founded, alive, Set.of(), NOW_MS))
+  void storeKeepsReportedGroup() {
+    assertThat(registry.groupFor(store(NEW_STORE, 2), founded, alive, Set.of(), NOW_MS))
         .isEqualTo(2);
   }
 
   @Test
-  void storeWhoseDiskWasLostReturnsToItsGroup() {
-    registry.report(new JobsGroupReport(2, 5, configuration(20, 21, NEWCOMER)));
-    lose(10);
-    assertThat(groupFor(NEWCOMER, NOW_MS)).isEqualTo(2);
+  void memberRejoinsItsGroupAfterDiskLoss() {
+    registry.onReport(new JobsGroupReport(2, 5, configuration(20, 21, NEW_STORE)));
+    removeStore(10);
+    assertThat(groupFor(NEW_STORE, NOW_MS)).isEqualTo(2);
   }
 
   @Test
-  void newStoreTakesThePlaceOfALostOneAtOnce() {
-    lose(22);
-    assertThat(groupFor(NEWCOMER, NOW_MS)).isEqualTo(2);
+  void newStoreReplacesLostOneImmediately() {
+    removeStore(22);
+    assertThat(groupFor(NEW_STORE, NOW_MS)).isEqualTo(2);
   }
 
   @Test
-  void storesThatComeTogetherDoNotTakeTheSamePlace() {
-    lose(12);
-    lose(22);
-    assertThat(Set.of(groupFor(NEWCOMER, NOW_MS), groupFor(NEWCOMER + 1, NOW_MS)))
+  void simultaneousStoresFillDifferentGroups() {
+    removeStore(12);
+    removeStore(22);
+    assertThat(Set.of(groupFor(NEW_STORE, NOW_MS), groupFor(NEW_STORE + 1, NOW_MS)))
         .containsExactlyInAnyOrder(1, 2);
   }
 
   @Test
   void storeWaitsWhileAllGroupsAreComplete() {
-    assertThat(groupFor(NEWCOMER, NOW_MS)).isEqualTo(FleetProcess.NO_GROUP);
+    assertThat(groupFor(NEW_STORE, NOW_MS)).isEqualTo(FleetProcess.NO_GROUP);
   }
 
   @Test
-  void storeWaitsAlsoWhenItAsksBeforeTheFirstMembers() {
+  void storeWaitsEvenBeforeFoundersReport() {
     alive.replaceAll(store -> store(store.memberId(), FleetProcess.NO_GROUP));
-    assertThat(groupFor(NEWCOMER, NOW_MS)).isEqualTo(FleetProcess.NO_GROUP);
+    assertThat(groupFor(NEW_STORE, NOW_MS)).isEqualTo(FleetProcess.NO_GROUP);
   }
 
   @Test
-  void waitingStoreReplacesAMemberThatDoesNotReturn() {
-    groupFor(NEWCOMER, NOW_MS);
-    lose(11);
-    assertThat(groupFor(NEWCOMER, NOW_MS)).isEqualTo(FleetProcess.NO_GROUP);
+  void waitingStoreReplacesMemberAfterDelay() {
+    groupFor(NEW_STORE, NOW_MS);
+    removeStore(11);
+    assertThat(groupFor(NEW_STORE, NOW_MS)).isEqualTo(FleetProcess.NO_GROUP);
     long laterMs = NOW_MS + JobsGroupRegistry.REPLACEMENT_DELAY_MS;
-    assertThat(groupFor(NEWCOMER, laterMs - 1)).isEqualTo(FleetProcess.NO_GROUP);
-    assertThat(groupFor(NEWCOMER, laterMs)).isEqualTo(1);
+    assertThat(groupFor(NEW_STORE, laterMs - 1)).isEqualTo(FleetProcess.NO_GROUP);
+    assertThat(groupFor(NEW_STORE, laterMs)).isEqualTo(1);
   }
 
   @Test
-  void newLeaderLeavesMembersTimeToStart() {
+  void newLeaderDelaysReplacements() {
     registry.clear(NOW_MS);
-    lose(11);
+    removeStore(11);
     long laterMs = NOW_MS + JobsGroupRegistry.REPLACEMENT_DELAY_MS;
-    assertThat(groupFor(NEWCOMER, laterMs - 1)).isEqualTo(FleetProcess.NO_GROUP);
-    assertThat(groupFor(NEWCOMER, laterMs)).isEqualTo(1);
+    assertThat(groupFor(NEW_STORE, laterMs - 1)).isEqualTo(FleetProcess.NO_GROUP);
+    assertThat(groupFor(NEW_STORE, laterMs)).isEqualTo(1);
   }
 
   @Test
-  void storeThatIsBeingEmptiedGetsNoGroup() {
-    lose(11);
-    FleetProcess leaving = store(NEWCOMER, FleetProcess.NO_GROUP);
-    assertThat(registry.groupFor(leaving, founded, alive, Set.of(NEWCOMER), NOW_MS))
+  void retiringStoreGetsNoGroup() {
+    removeStore(11);
+    FleetProcess leaving = store(NEW_STORE, FleetProcess.NO_GROUP);
+    assertThat(registry.groupFor(leaving, founded, alive, Set.of(NEW_STORE), NOW_MS))
         .isEqualTo(FleetProcess.NO_GROUP);
   }
 
   @Test
-  void memberThatIsBeingEmptiedLeavesAPlace() {
-    FleetProcess newcomer = store(NEWCOMER, FleetProcess.NO_GROUP);
+  void retiringMemberIsReplaced() {
+    FleetProcess newcomer = store(NEW_STORE, FleetProcess.NO_GROUP);
     assertThat(registry.groupFor(newcomer, founded, alive, Set.of(20), NOW_MS)).isEqualTo(2);
   }
 
   @Test
-  void olderLeadersReportDoesNotCount() {
-    registry.report(new JobsGroupReport(1, 7, configuration(10, 11)));
-    registry.report(new JobsGroupReport(1, 6, configuration(10, 11, 12)));
+  void ignoresReportOfOlderTerm() {
+    registry.onReport(new JobsGroupReport(1, 7, configuration(10, 11)));
+    registry.onReport(new JobsGroupReport(1, 6, configuration(10, 11, 12)));
     assertThat(registry.reports())
         .containsExactly(new JobsGroupReport(1, 7, configuration(10, 11)));
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownFleet.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownFleet.java
@@ -25,7 +25,7 @@
   private static final String FILE = "last-known-fleet";
   private static final long VERSION = 7;
   private static final double CORES = 0.27;
-  private static final long LONGEST_WAIT_MS = 5_000;
+  private static final long WRITE_TIMEOUT_MS = 5_000;
 
   @TempDir private Path path;
 
@@ -55,7 +55,7 @@
     try (LastKnownFleet known = new LastKnownFleet(folder())) {
       known.start();
       known.offer(view);
-      long deadline = System.currentTimeMillis() + LONGEST_WAIT_MS;
+      long deadline = System.currentTimeMillis() + WRITE_TIMEOUT_MS;
       while (!Files.exists(path.resolve(FILE)) && System.currentTimeMillis() < deadline) {
         Thread.sleep(10);
       }
@@ -63,14 +63,14 @@
   }
 
   @Test
-  void nothingIsKnownOnAnEmptyDisk() {
-    assertThat(new LastKnownFleet(folder()).atStart()).isEmpty();
+  void emptyFolderRecoversNothing() {
+    assertThat(new LastKnownFleet(folder()).recovered()).isEmpty();
   }
 
   @Test
-  void viewIsKnownAfterRestart() throws InterruptedException {
+  void recoversViewAfterRestart() throws InterruptedException {
     write(view());
-    FleetUpdate update = new LastKnownFleet(folder()).atStart().orElseThrow();
+    FleetUpdate update = new LastKnownFleet(folder()).recovered().orElseThrow();
     assertThat(update.routes().version()).isEqualTo(VERSION);
     assertThat(update.engines().changed()).extracting(EngineInstance::id).containsExactly("e");
     assertThat(update.processes().changed()).extracting(FleetProcess::name).containsExactly("g");
@@ -79,28 +79,28 @@
   }
 
   @Test
-  void listsBelongToNoLeaderSoThatEveryLeaderSendsItsOwn() throws InterruptedException {
+  void recoveredListsHaveNoLeaderEpoch() throws InterruptedException {
     write(view());
-    FleetUpdate update = new LastKnownFleet(folder()).atStart().orElseThrow();
+    FleetUpdate update = new LastKnownFleet(folder()).recovered().orElseThrow();
     assertThat(update.engines().epoch()).isEqualTo(FleetUpdate.NO_LEADERS_EPOCH);
     assertThat(update.engines().full()).isTrue();
     assertThat(update.processes().epoch()).isEqualTo(FleetUpdate.NO_LEADERS_EPOCH);
   }
 
   @Test
-  void damagedFileCountsAsNone() throws IOException, InterruptedException {
+  void damagedFileIsIgnored() throws IOException, InterruptedException {
     write(view());
     String whole = Files.readString(path.resolve(FILE));
     for (String damaged : List.of("", "%%%", whole.substring(0, whole.length() / 2))) {
       Files.writeString(path.resolve(FILE), damaged);
-      assertThat(new LastKnownFleet(folder()).atStart()).isEmpty();
+      assertThat(new LastKnownFleet(folder()).recovered()).isEmpty();
     }
   }
 
   @Test
-  void fileThatLacksAListCountsAsNone() throws IOException, InterruptedException {
+  void incompleteFileIsIgnored() throws IOException, InterruptedException {
     write(view());
-    FleetUpdate whole = new LastKnownFleet(folder()).atStart().orElseThrow();
+    FleetUpdate whole = new LastKnownFleet(folder()).recovered().orElseThrow();
     FleetUpdate withoutEngines =
         new FleetUpdate(
             whole.routes(),
@@ -114,6 +114,6 @@
             null);
     byte[] encoded = ObjectCodec.encode(withoutEngines);
     Files.writeString(path.resolve(FILE), Base64.getEncoder().encodeToString(encoded));
-    assertThat(new LastKnownFleet(folder()).atStart()).isEmpty();
+    assertThat(new LastKnownFleet(folder()).recovered()).isEmpty();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestRouteTableCheck.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestRouteTableValidator.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class TestRouteTableCheck {
+class TestRouteTableValidator {
   private static RouteSpec route(String name, String prefix, long timeoutMs, RouteTarget target) {
     return new RouteSpec(
         name,
@@ -44,27 +44,29 @@
         new byte[0]);
   }
 
-  private static final RouteTarget GOOD = new RouteTarget("s", 1);
+  private static final RouteTarget VALID_TARGET = new RouteTarget("s", 1);
 
   @Test
   void validTableHasNoProblem() {
     assertThat(
-            RouteTableCheck.problem(table(route("a", "/a/", 1, GOOD), route("b", "/b/", 1, GOOD))))
+            RouteTableValidator.findProblem(
+                table(route("a", "/a/", 1, VALID_TARGET), route("b", "/b/", 1, VALID_TARGET))))
         .isEmpty();
   }
 
   @Test
-  void eachMistakeIsNamed() {
+  void reportsEachProblem() {
     RouteSpec unknownService = route("a", "/a/", 1, new RouteTarget("other", 1));
-    assertThat(RouteTableCheck.problem(table(unknownService)))
+    assertThat(RouteTableValidator.findProblem(table(unknownService)))
         .hasValueSatisfying(problem -> assertThat(problem).contains("unknown service other"));
     RouteSpec noWeight = route("a", "/a/", 1, new RouteTarget("s", 0));
-    assertThat(RouteTableCheck.problem(table(noWeight))).isPresent();
-    RouteSpec noTimeout = route("a", "/a/", 0, GOOD);
-    assertThat(RouteTableCheck.problem(table(noTimeout))).isPresent();
-    RouteSpec first = route("a", "/a/", 1, GOOD);
-    RouteSpec samePlace = route("b", "/a/", 1, GOOD);
-    assertThat(RouteTableCheck.problem(table(first, samePlace))).isPresent();
-    assertThat(RouteTableCheck.problem(table(route("a", "/a", 1, GOOD)))).isPresent();
+    assertThat(RouteTableValidator.findProblem(table(noWeight))).isPresent();
+    RouteSpec noTimeout = route("a", "/a/", 0, VALID_TARGET);
+    assertThat(RouteTableValidator.findProblem(table(noTimeout))).isPresent();
+    RouteSpec first = route("a", "/a/", 1, VALID_TARGET);
+    RouteSpec samePlace = route("b", "/a/", 1, VALID_TARGET);
+    assertThat(RouteTableValidator.findProblem(table(first, samePlace))).isPresent();
+    assertThat(RouteTableValidator.findProblem(table(route("a", "/a", 1, VALID_TARGET))))
+        .isPresent();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestVersionedList.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestVersionedList.java
@@ -13,8 +13,7 @@
 class TestVersionedList {
 
   @Property
-  void readerThatFollowsDeltasKnowsTheList(
-      @ForAll List<@IntRange(min = -5, max = 5) Integer> changes) {
+  void deltasReproduceTheList(@ForAll List<@IntRange(min = -5, max = 5) Integer> changes) {
     VersionedList<Integer> list = new VersionedList<>();
     Set<String> truth = new HashSet<>();
     Set<String> reader = new HashSet<>();
@@ -44,7 +43,7 @@
   }
 
   @Test
-  void equalEntryIsNoChange() {
+  void equalEntryIsNotAChange() {
     VersionedList<String> list = new VersionedList<>();
     assertThat(list.put("a", "x")).isTrue();
     assertThat(list.put("a", "x")).isFalse();
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/UnevenEnginesModel.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
@@ -17,7 +17,7 @@
  * A model of streams on engines of which some take longer, chosen by gateways that each know only
  * what their own calls tell; time in milliseconds.
  */
-final class UnevenEnginesModel {
+final class HeterogeneousEnginesSimulation {
   private static final int GATEWAYS = 25;
   private static final int FAST_ENGINES = 40;
   private static final int ENGINES = 62;
@@ -25,13 +25,13 @@
   private static final int EVENTS = 20;
   private static final double FAST_EVENT_MS = 27;
   private static final double SLOW_EVENT_MS = 75;
-  private static final double READING_MS = 9;
-  private static final long AIM_MS = 305;
-  private static final long DAY_MS = 40_000;
-  private static final long CREST_EVERY_MS = 6_600;
-  private static final long CREST_MS = 2_800;
-  private static final double TROUGH_PER_MS = 0.15;
-  private static final double CREST_PER_MS = 0.54;
+  private static final double PREFILL_MS = 9;
+  private static final long LATENCY_TARGET_MS = 305;
+  private static final long DURATION_MS = 40_000;
+  private static final long PEAK_INTERVAL_MS = 6_600;
+  private static final long PEAK_MS = 2_800;
+  private static final double OFF_PEAK_REQUESTS_PER_MS = 0.15;
+  private static final double PEAK_REQUESTS_PER_MS = 0.54;
   private static final long REPORT_HALF_LIFE_MS = 250;
   private static final Prompt PROMPT = new Prompt(450, "shared", 200);
   private static final List<String> ZONES = List.of("a", "b", "c");
@@ -43,7 +43,7 @@
     }
   }
 
-  private record Timed(double atMs, long order, Runnable action) {}
+  private record ScheduledAction(double atMs, long order, Runnable action) {}
 
   private static final class Engine {
     private final double eventMs;
@@ -73,12 +73,13 @@
   }
 
   private final SplittableRandom random;
-  private final boolean paceTold;
-  private final PriorityQueue<Timed> agenda =
-      new PriorityQueue<>(Comparator.comparingDouble(Timed::atMs).thenComparing(Timed::order));
+  private final boolean reportsPace;
+  private final PriorityQueue<ScheduledAction> eventQueue =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(ScheduledAction::atMs).thenComparing(ScheduledAction::order));
   private final Map<String, Engine> engines = new HashMap<>();
   private final List<EngineTable> tables = new ArrayList<>();
-  private final List<EngineChoice> choices = new ArrayList<>();
+  private final List<EngineLoadBalancer> choices = new ArrayList<>();
   private double nowMs;
   private long order;
   private int served;
@@ -86,9 +87,9 @@
   private int servedBySlow;
   private int lateAtSlow;
 
-  UnevenEnginesModel(long seed, boolean paceTold) {
+  HeterogeneousEnginesSimulation(long seed, boolean paceTold) {
     this.random = new SplittableRandom(seed);
-    this.paceTold = paceTold;
+    this.reportsPace = paceTold;
     Map<String, EngineInstance> listed = new HashMap<>();
     for (int i = 0; i < ENGINES; i++) {
       String id = "e" + i;
@@ -100,22 +101,22 @@
       EngineTable table = new EngineTable(REPORT_HALF_LIFE_MS);
       table.update(listed);
       tables.add(table);
-      choices.add(new EngineChoice(ZONES.get(i % ZONES.size()), seed + i));
+      choices.add(new EngineLoadBalancer(ZONES.get(i % ZONES.size()), seed + i));
     }
   }
 
   Result run() {
-    after(0, this::arrive);
-    while (!agenda.isEmpty()) {
-      Timed next = agenda.remove();
+    schedule(0, this::arrive);
+    while (!eventQueue.isEmpty()) {
+      ScheduledAction next = eventQueue.remove();
       nowMs = next.atMs();
       next.action().run();
     }
     return new Result(served, late, servedBySlow, lateAtSlow);
   }
 
-  private void after(double delayMs, Runnable action) {
-    agenda.add(new Timed(nowMs + delayMs, order++, action));
+  private void schedule(double delayMs, Runnable action) {
+    eventQueue.add(new ScheduledAction(nowMs + delayMs, order++, action));
   }
 
   private long clockMs() {
@@ -123,11 +124,12 @@
   }
 
   private void arrive() {
-    if (nowMs > DAY_MS) {
+    if (nowMs > DURATION_MS) {
       return;
     }
-    double perMs = nowMs % CREST_EVERY_MS < CREST_MS ? CREST_PER_MS : TROUGH_PER_MS;
-    after(-Math.log(1 - random.nextDouble()) / perMs, this::arrive);
+    double perMs =
+        nowMs % PEAK_INTERVAL_MS < PEAK_MS ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS;
+    schedule(-Math.log(1 - random.nextDouble()) / perMs, this::arrive);
     int gateway = random.nextInt(GATEWAYS);
     List<EngineState> usable = tables.get(gateway).usable("s", Set.of(), clockMs());
     Placement placement = choices.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
@@ -135,26 +137,26 @@
     Engine engine = engines.get(state.instance().id());
     double sentMs = nowMs;
     state.onStart(clockMs());
-    state.onPromptSent(placement.tokensToRead());
-    engine.take(() -> begin(state, engine, sentMs, placement.tokensToRead()));
+    state.onPromptSent(placement.prefillTokens());
+    engine.take(() -> begin(state, engine, sentMs, placement.prefillTokens()));
   }
 
   private void begin(EngineState state, Engine engine, double sentMs, long tokens) {
     double factor = 0.85 + 0.3 * random.nextDouble();
     double eventMs = engine.eventMs * factor;
-    after(READING_MS * engine.eventMs / FAST_EVENT_MS, () -> state.onPromptRead(tokens));
-    after(
-        READING_MS * engine.eventMs / FAST_EVENT_MS + eventMs,
+    schedule(PREFILL_MS * engine.eventMs / FAST_EVENT_MS, () -> state.onPrefillDone(tokens));
+    schedule(
+        PREFILL_MS * engine.eventMs / FAST_EVENT_MS + eventMs,
         () -> {
           state.onFirstBytes((long) (nowMs - sentMs), clockMs());
-          int pace = paceTold ? (int) (100 * factor) : EngineLoadReport.PACE_UNKNOWN;
+          int pace = reportsPace ? (int) (100 * factor) : EngineLoadReport.PACE_UNKNOWN;
           EngineLoadReport load =
               new EngineLoadReport(
                   engine.running, engine.waiting.size(), SLOTS, EngineInstance.BORN_UNKNOWN, pace);
-          state.onLoad(load, clockMs());
-          count(engine, nowMs - sentMs > AIM_MS);
+          state.onLoadReport(load, clockMs());
+          count(engine, nowMs - sentMs > LATENCY_TARGET_MS);
           double restMs = (EVENTS - 1) * eventMs;
-          after(restMs, () -> end(state, engine, (long) restMs));
+          schedule(restMs, () -> end(state, engine, (long) restMs));
         });
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineChoice.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class TestEngineChoice {
+class TestEngineLoadBalancer {
   private static final long REPORT_HALF_LIFE_MS = 500;
   private static final long NOW_MS = 1_000;
   private static final Prompt SHORT_PROMPT = new Prompt(600, "head", 150);
 
   private final EngineTable table = new EngineTable(REPORT_HALF_LIFE_MS);
-  private final EngineChoice choice = new EngineChoice("a", 1);
+  private final EngineLoadBalancer choice = new EngineLoadBalancer("a", 1);
 
-  TestEngineChoice() {
+  TestEngineLoadBalancer() {
     Map<String, EngineInstance> engines = new HashMap<>();
     for (String zone : List.of("a", "b")) {
       for (int i = 0; i < 3; i++) {
@@ -34,7 +34,7 @@
     return place(choice, prompt).engine();
   }
 
-  private Placement place(EngineChoice by, Prompt prompt) {
+  private Placement place(EngineLoadBalancer by, Prompt prompt) {
     return by.choose(table.usable("s", Set.of(), NOW_MS), prompt, NOW_MS).orElseThrow();
   }
 
@@ -43,14 +43,14 @@
   }
 
   @Test
-  void ownZoneIsPreferred() {
+  void prefersOwnZone() {
     for (int i = 0; i < 20; i++) {
       assertThat(choose(SHORT_PROMPT).instance().zone()).isEqualTo("a");
     }
   }
 
   @Test
-  void loadSpillsToOtherZones() {
+  void usesOtherZoneUnderLoad() {
     table.all().stream()
         .filter(engine -> engine.instance().zone().equals("a"))
         .forEach(
@@ -63,8 +63,8 @@
   }
 
   @Test
-  void promptsThatShareALongPrefixMeetOnOneEngineForAllZones() {
-    EngineChoice ofOtherZone = new EngineChoice("b", 2);
+  void sharedPrefixHasOneOwnerInAllZones() {
+    EngineLoadBalancer ofOtherZone = new EngineLoadBalancer("b", 2);
     for (String prefix : List.of("x", "y", "z")) {
       Set<String> homes = new HashSet<>();
       for (int i = 0; i < 10; i++) {
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void differentPrefixesSpreadOverTheEngines() {
+  void spreadsPrefixesOverEngines() {
     Set<String> homes = new HashSet<>();
     for (int i = 0; i < 60; i++) {
       homes.add(choose(longPrompt("prefix-" + i)).instance().id());
@@ -85,19 +85,19 @@
   }
 
   @Test
-  void onlyTheHomeIsExpectedToHoldThePrefix() {
+  void countsPrefixAsCachedOnlyAtOwner() {
     Placement atHome = place(choice, longPrompt("x"));
-    assertThat(atHome.tokensToRead()).isEqualTo(9_000 - 6_300);
+    assertThat(atHome.prefillTokens()).isEqualTo(9_000 - 6_300);
     for (int i = 0; i < 10; i++) {
       atHome.engine().onStart(NOW_MS);
     }
     Placement elsewhere = place(choice, longPrompt("x"));
     assertThat(elsewhere.engine()).isNotEqualTo(atHome.engine());
-    assertThat(elsewhere.tokensToRead()).isEqualTo(9_000);
+    assertThat(elsewhere.prefillTokens()).isEqualTo(9_000);
   }
 
   @Test
-  void homeOfAPrefixMovesOnlyWhenItsEngineIsGone() {
+  void ownerChangesOnlyWhenRemoved() {
     EngineState home = choose(longPrompt("x"));
     Map<String, EngineInstance> rest = new HashMap<>();
     table.all().forEach(engine -> rest.put(engine.instance().id(), engine.instance()));
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void engineWithUnreadPromptsIsAvoided() {
+  void avoidsEngineWithPendingPrefill() {
     EngineState first = choose(SHORT_PROMPT);
     first.onPromptSent(20_000);
     for (int i = 0; i < 10; i++) {
@@ -124,19 +124,19 @@
   }
 
   @Test
-  void drainingAndFailedEnginesGetNothing() {
+  void skipsDrainingAndFailedEngines() {
     EngineState failed = table.find("a0");
     failed.onFailure(NOW_MS);
     assertThat(table.usable("s", Set.of(), NOW_MS)).doesNotContain(failed).hasSize(5);
-    failed.onHeard(NOW_MS);
+    failed.onDataReceived(NOW_MS);
     assertThat(table.usable("s", Set.of(), NOW_MS + 600)).contains(failed);
     failed.update(new EngineInstance("a0", "s", "h:1", "a", 10, true));
     assertThat(table.usable("s", Set.of(), NOW_MS + 600)).doesNotContain(failed);
-    assertThat(table.listed("s", Set.of(), NOW_MS)).doesNotContain(failed);
+    assertThat(table.inService("s", Set.of(), NOW_MS)).doesNotContain(failed);
   }
 
   @Test
-  void engineThatLeavesTheListIsGone() {
+  void unlistedEngineIsUnusable() {
     EngineState kept = table.find("a0");
     table.update(Map.of());
     assertThat(kept.isUsable(NOW_MS)).isFalse();
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void engineWhoseCallsWaitedIsAvoidedForAWhile() {
+  void avoidsEngineAfterLongWaits() {
     EngineState slow = choose(SHORT_PROMPT);
     for (int i = 0; i < 5; i++) {
       slow.onFirstBytes(500, NOW_MS);
@@ -153,9 +153,9 @@
     assertThat(slow.recentWaitMs(NOW_MS + 4_000)).isLessThan(5);
   }
 
-  private void tellPace(String id, long eventMs) {
+  private void reportPace(String id, long eventMs) {
     EngineState engine = table.find(id);
-    engine.onLoad(new EngineLoadReport(0, 0, 10, EngineInstance.BORN_UNKNOWN, 100), NOW_MS);
+    engine.onLoadReport(new EngineLoadReport(0, 0, 10, EngineInstance.BORN_UNKNOWN, 100), NOW_MS);
     showPace(id, eventMs);
   }
 
@@ -171,7 +171,7 @@
     }
   }
 
-  private Set<String> chosenOften() {
+  private Set<String> chosenIds() {
     Set<String> ids = new HashSet<>();
     for (int i = 0; i < 40; i++) {
       ids.add(choose(SHORT_PROMPT).instance().id());
@@ -180,45 +180,46 @@
   }
 
   @Test
-  void slowEngineIsTakenWhenItIsEmptierAndBeforeAFullOne() {
-    tellPace("a0", 27);
-    tellPace("a1", 27);
-    tellPace("a2", 75);
-    assertThat(chosenOften()).as("all are empty").containsExactlyInAnyOrder("a0", "a1");
+  void usesSlowEngineWhenOthersFill() {
+    reportPace("a0", 27);
+    reportPace("a1", 27);
+    reportPace("a2", 75);
+    assertThat(chosenIds()).as("all are empty").containsExactlyInAnyOrder("a0", "a1");
     start("a0", 2);
     start("a1", 2);
-    assertThat(chosenOften()).as("its one place takes as long as three").doesNotContain("a2");
+    assertThat(chosenIds()).as("its one place takes as long as three").doesNotContain("a2");
     start("a0", 4);
     start("a1", 4);
-    assertThat(chosenOften()).as("the others fill up").containsExactly("a2");
+    assertThat(chosenIds()).as("the others fill up").containsExactly("a2");
   }
 
   @Test
-  void engineThatIsNewToAllCountsAsAUsualOne() {
-    tellPace("a0", 27);
-    tellPace("a1", 75);
-    tellPace("b0", 27);
+  void newEngineHasMedianPace() {
+    reportPace("a0", 27);
+    reportPace("a1", 75);
+    reportPace("b0", 27);
     start("a0", 1);
-    assertThat(chosenOften()).containsExactly("a2");
+    assertThat(chosenIds()).containsExactly("a2");
   }
 
   /** The formula of services whose engines do not tell their pace is the one without pace. */
   @Test
-  void paceOfEnginesThatDoNotTellItChangesNothing() {
+  void ignoresPaceUnlessReported() {
     showPace("a0", 27);
     showPace("a1", 27);
     showPace("a2", 75);
-    assertThat(chosenOften()).containsExactlyInAnyOrder("a0", "a1", "a2");
+    assertThat(chosenIds()).containsExactlyInAnyOrder("a0", "a1", "a2");
     start("a0", 1);
     start("a1", 1);
-    assertThat(chosenOften()).containsExactly("a2");
+    assertThat(chosenIds()).containsExactly("a2");
   }
 
   /** 62 engines, 22 of them 2.8 times slower, 25 gateways, crests near what all engines can do. */
   @Test
-  void fewRequestsWaitAtSlowEnginesInCrests() {
-    UnevenEnginesModel.Result without = new UnevenEnginesModel(1, false).run();
-    UnevenEnginesModel.Result with = new UnevenEnginesModel(1, true).run();
+  void fewLateRequestsAtPeaks() {
+    HeterogeneousEnginesSimulation.Result without =
+        new HeterogeneousEnginesSimulation(1, false).run();
+    HeterogeneousEnginesSimulation.Result with = new HeterogeneousEnginesSimulation(1, true).run();
     assertThat(without.lateShare()).isGreaterThan(0.04);
     assertThat(with.lateShare()).isLessThan(0.02);
     assertThat(with.servedBySlow()).as("slow ones are used").isGreaterThan(with.served() / 20);
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadEstimate.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadEstimate.java
@@ -23,25 +23,25 @@
   }
 
   @Test
-  void requestsOfOthersCountHalfAfterTheHalfLife() {
-    engine.onLoad(new EngineLoadReport(4, 2, 6), REPORTED_MS);
+  void otherCallsDecayByHalfLife() {
+    engine.onLoadReport(new EngineLoadReport(4, 2, 6), REPORTED_MS);
     assertThat(engine.estimatedLoad(REPORTED_MS)).isEqualTo(6);
     assertThat(engine.estimatedLoad(REPORTED_MS + HALF_LIFE_MS)).isEqualTo(3);
     assertThat(engine.estimatedLoad(REPORTED_MS + 2 * HALF_LIFE_MS)).isEqualTo(1.5);
   }
 
   @Test
-  void ownRequestsCountWholeWhateverTheAgeOfTheReport() {
+  void ownCallsDoNotDecay() {
     engine.onStart(REPORTED_MS);
-    engine.onLoad(new EngineLoadReport(5, 0, 6), REPORTED_MS);
+    engine.onLoadReport(new EngineLoadReport(5, 0, 6), REPORTED_MS);
     assertThat(engine.estimatedLoad(REPORTED_MS + HALF_LIFE_MS)).isEqualTo(1 + 2);
   }
 
   @Test
-  void callsThatPeersTellCountWholeAndAreNotCountedTwice() {
+  void peerCallsAreCountedOnce() {
     engine.onStart(REPORTED_MS);
     engine.onPeerCalls(2);
-    engine.onLoad(new EngineLoadReport(4, 1, 6), REPORTED_MS);
+    engine.onLoadReport(new EngineLoadReport(4, 1, 6), REPORTED_MS);
     assertThat(engine.estimatedLoad(REPORTED_MS)).isEqualTo(5);
     assertThat(engine.estimatedLoad(REPORTED_MS + HALF_LIFE_MS)).isEqualTo(1 + 2 + 1);
     engine.onPeerCalls(0);
@@ -49,15 +49,15 @@
   }
 
   @Test
-  void peersThatTellMoreThanTheReportShowsTakeNothingFromOwnCalls() {
+  void excessPeerCallsKeepOwnCalls() {
     engine.onStart(REPORTED_MS);
     engine.onPeerCalls(5);
-    engine.onLoad(new EngineLoadReport(3, 0, 6), REPORTED_MS);
+    engine.onLoadReport(new EngineLoadReport(3, 0, 6), REPORTED_MS);
     assertThat(engine.estimatedLoad(REPORTED_MS)).isEqualTo(6);
   }
 
   @Property(tries = 200)
-  void withoutPeersTheEstimateIsOwnCallsAndTheAgeingRest(
+  void addsOwnCallsAndDecayedOthers(
       @ForAll @IntRange(max = 20) int own,
       @ForAll @IntRange(max = 40) int reported,
       @ForAll @IntRange(max = 5_000) int ageMs) {
@@ -65,17 +65,17 @@
     for (int i = 0; i < own; i++) {
       alone.onStart(REPORTED_MS);
     }
-    alone.onLoad(new EngineLoadReport(reported, 0, 6), REPORTED_MS);
+    alone.onLoadReport(new EngineLoadReport(reported, 0, 6), REPORTED_MS);
     double weight = Math.pow(0.5, (double) ageMs / HALF_LIFE_MS);
     assertThat(alone.estimatedLoad(REPORTED_MS + ageMs))
         .isEqualTo(own + Math.max(0, reported - own) * weight);
   }
 
   @Test
-  void anEngineThatToldItsPaceOnceTellsIt() {
-    assertThat(engine.tellsPace()).isFalse();
-    engine.onLoad(new EngineLoadReport(1, 0, 6, 0, 100), REPORTED_MS);
-    engine.onLoad(new EngineLoadReport(1, 0, 6), REPORTED_MS);
-    assertThat(engine.tellsPace()).isTrue();
+  void pacePersistsAfterOneReport() {
+    assertThat(engine.reportsPace()).isFalse();
+    engine.onLoadReport(new EngineLoadReport(1, 0, 6, 0, 100), REPORTED_MS);
+    engine.onLoadReport(new EngineLoadReport(1, 0, 6), REPORTED_MS);
+    assertThat(engine.reportsPace()).isTrue();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEnginePace.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEnginePace.java
@@ -15,88 +15,88 @@
 
   private final EnginePace pace = new EnginePace();
 
-  private static void stream(EnginePace of, int eventMs) {
+  private static void addStream(EnginePace of, int eventMs) {
     of.onStream(EVENTS, (long) EVENTS * eventMs, NOW_MS);
   }
 
   @Test
-  void oneStreamTellsAndOneThatWasHeldUpTurnsLittle() {
-    stream(pace, 27);
+  void singleOutlierHasLittleEffect() {
+    addStream(pace, 27);
     assertThat(pace.msPerEvent()).isEqualTo(27);
     for (int i = 0; i < 10; i++) {
-      stream(pace, 27);
+      addStream(pace, 27);
     }
-    stream(pace, 2_000);
+    addStream(pace, 2_000);
     assertThat(pace.msPerEvent()).isCloseTo(27, within(4.0));
   }
 
   @Test
-  void enginesPaceThatChangesForGoodIsFollowed() {
-    stream(pace, 27);
+  void followsLastingChange() {
+    addStream(pace, 27);
     for (int i = 0; i < 30; i++) {
-      stream(pace, 75);
+      addStream(pace, 75);
     }
     assertThat(pace.msPerEvent()).isCloseTo(75, within(3.0));
   }
 
   @Test
-  void shortStreamsAndThoseThatCameAtOnceTellNothing() {
+  void ignoresShortAndInstantStreams() {
     pace.onStream(4, 400, NOW_MS);
     pace.onStream(EVENTS, 0, NOW_MS);
-    assertThat(pace.isKnown()).isFalse();
+    assertThat(pace.hasSamples()).isFalse();
   }
 
   @Test
-  void toldFigureHoldsForAMomentAndAgainstWhatTheEngineUsuallyTells() {
-    assertThat(pace.momentaryFactor(NOW_MS)).isEqualTo(1);
+  void reportIsRelativeAndDecays() {
+    assertThat(pace.currentFactor(NOW_MS)).isEqualTo(1);
     for (int i = 0; i < 20; i++) {
-      pace.onTold(270, NOW_MS);
+      pace.onReported(270, NOW_MS);
     }
-    assertThat(pace.momentaryFactor(NOW_MS)).as("its usual figure").isCloseTo(1, within(0.01));
-    pace.onTold(400, NOW_MS);
-    assertThat(pace.momentaryFactor(NOW_MS)).isGreaterThan(1.3);
-    assertThat(pace.momentaryFactor(NOW_MS + 500)).isCloseTo(1, within(0.02));
+    assertThat(pace.currentFactor(NOW_MS)).as("its usual figure").isCloseTo(1, within(0.01));
+    pace.onReported(400, NOW_MS);
+    assertThat(pace.currentFactor(NOW_MS)).isGreaterThan(1.3);
+    assertThat(pace.currentFactor(NOW_MS + 500)).isCloseTo(1, within(0.02));
   }
 
   @Test
-  void vastFigureStaysWithinBounds() {
-    pace.onTold(100, NOW_MS);
-    pace.onTold(10_000, NOW_MS);
-    assertThat(pace.momentaryFactor(NOW_MS)).isBetween(0.5, 2.0);
+  void boundsCurrentFactor() {
+    pace.onReported(100, NOW_MS);
+    pace.onReported(10_000, NOW_MS);
+    assertThat(pace.currentFactor(NOW_MS)).isBetween(0.5, 2.0);
   }
 
   @Test
-  void littleKnownEngineIsBetweenUsualAndItsOwnAndIsTriedAgainInTime() {
-    EngineTable table = uneven();
+  void fewSamplesShrinkTowardMedian() {
+    EngineTable table = heterogeneousTable();
     EngineState slow = table.find("e4");
-    stream(slow.pace(), 81);
-    double afterOne = ServicePace.of(table.all(), NOW_MS).relative(slow);
+    addStream(slow.pace(), 81);
+    double afterOne = ServicePace.of(table.all(), NOW_MS).relativePace(slow);
     assertThat(afterOne).isBetween(1.5, 3.0);
     for (int i = 0; i < 8; i++) {
-      stream(slow.pace(), 81);
+      addStream(slow.pace(), 81);
     }
-    assertThat(ServicePace.of(table.all(), NOW_MS).relative(slow)).isCloseTo(3, within(0.2));
+    assertThat(ServicePace.of(table.all(), NOW_MS).relativePace(slow)).isCloseTo(3, within(0.2));
     assertThat(ServicePace.of(table.all(), NOW_MS).isSlow(slow)).isTrue();
     ServicePace later = ServicePace.of(table.all(), NOW_MS + 200_000);
     assertThat(later.isSlow(slow)).isFalse();
   }
 
   @Test
-  void unknownEngineIsTakenForAUsualOne() {
-    EngineTable table = uneven();
-    assertThat(ServicePace.of(table.all(), NOW_MS).relative(table.find("e4"))).isEqualTo(1);
+  void unknownEngineHasMedianPace() {
+    EngineTable table = heterogeneousTable();
+    assertThat(ServicePace.of(table.all(), NOW_MS).relativePace(table.find("e4"))).isEqualTo(1);
   }
 
   @Test
-  void nextLifeOfAnEngineBeginsWithoutPace() {
-    EngineTable table = uneven();
+  void restartResetsPace() {
+    EngineTable table = heterogeneousTable();
     EngineInstance next = new EngineInstance("e1", "s", "h:1", "z", 8, false, 5_000);
     table.update(Map.of("e1", next));
-    assertThat(table.find("e1").pace().isKnown()).isFalse();
+    assertThat(table.find("e1").pace().hasSamples()).isFalse();
   }
 
   /** Four engines of which two streams were seen each, and a fifth one that is new. */
-  private static EngineTable uneven() {
+  private static EngineTable heterogeneousTable() {
     Map<String, EngineInstance> listed = new HashMap<>();
     for (int i = 0; i < 5; i++) {
       listed.put("e" + i, new EngineInstance("e" + i, "s", "h:1", "z", 8, false));
@@ -105,9 +105,9 @@
     table.update(listed);
     for (int i = 0; i < 4; i++) {
       EngineState engine = table.find("e" + i);
-      engine.onLoad(new EngineLoadReport(0, 0, 8, EngineInstance.BORN_UNKNOWN, 100), NOW_MS);
-      stream(engine.pace(), 27);
-      stream(engine.pace(), 27);
+      engine.onLoadReport(new EngineLoadReport(0, 0, 8, EngineInstance.BORN_UNKNOWN, 100), NOW_MS);
+      addStream(engine.pace(), 27);
+      addStream(engine.pace(), 27);
     }
     return table;
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLives.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineRestart.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /** An engine that ends, and starts again under the id and address that it had. */
-class TestEngineLives {
+class TestEngineRestart {
   private static final long NOW_MS = 10_000;
   private static final long BORN_MS = 1_700_000_000_000L;
 
   private final EngineTable table = new EngineTable(500);
 
-  private static EngineInstance life(long bornMs) {
+  private static EngineInstance instance(long bornMs) {
     return new EngineInstance("e", "s", "h:1", "z", 4, false, bornMs);
   }
 
@@ -24,24 +24,24 @@
 
   private boolean isOffered(long nowMs) {
     return !table.usable("s", Set.of(), nowMs).isEmpty()
-        || !table.listed("s", Set.of(), nowMs).isEmpty();
+        || !table.inService("s", Set.of(), nowMs).isEmpty();
   }
 
   @Test
-  void engineThatEndedGetsNothingForAWhileEvenWhenNoOtherIsLeft() {
-    list(life(BORN_MS));
-    table.onEnded(life(BORN_MS), NOW_MS);
+  void pausesAfterEngineIsDown() {
+    list(instance(BORN_MS));
+    table.onDown(instance(BORN_MS), NOW_MS);
     assertThat(isOffered(NOW_MS + 999)).isFalse();
     assertThat(isOffered(NOW_MS + 1_000)).as("the list may not show its return yet").isTrue();
   }
 
   @Test
-  void nextLifeKnowsNothingOfTheOneBefore() {
-    list(life(BORN_MS));
+  void restartResetsState() {
+    list(instance(BORN_MS));
     EngineState before = table.find("e");
     before.onStart(NOW_MS);
-    table.onEnded(life(BORN_MS), NOW_MS);
-    list(life(BORN_MS + 5_000));
+    table.onDown(instance(BORN_MS), NOW_MS);
+    list(instance(BORN_MS + 5_000));
     assertThat(table.find("e")).isNotSameAs(before);
     assertThat(table.find("e").inFlight()).isZero();
     assertThat(isOffered(NOW_MS)).isTrue();
@@ -49,19 +49,19 @@
   }
 
   @Test
-  void endOfAnEarlierLifeThatIsNoticedLateChangesNothing() {
-    list(life(BORN_MS + 5_000));
-    table.onEnded(life(BORN_MS), NOW_MS);
+  void ignoresLateEndOfOldInstance() {
+    list(instance(BORN_MS + 5_000));
+    table.onDown(instance(BORN_MS), NOW_MS);
     assertThat(isOffered(NOW_MS)).isTrue();
   }
 
   @Test
-  void whereTheStartIsNotToldTheIdAloneCounts() {
-    list(life(EngineInstance.BORN_UNKNOWN));
+  void unknownStartComparesIdOnly() {
+    list(instance(EngineInstance.BORN_UNKNOWN));
     EngineState known = table.find("e");
-    list(life(EngineInstance.BORN_UNKNOWN));
+    list(instance(EngineInstance.BORN_UNKNOWN));
     assertThat(table.find("e")).isSameAs(known);
-    assertThat(life(BORN_MS).isOtherLife(EngineInstance.BORN_UNKNOWN)).isFalse();
-    assertThat(life(BORN_MS).isOtherLife(BORN_MS + 1)).isTrue();
+    assertThat(instance(BORN_MS).isOtherLife(EngineInstance.BORN_UNKNOWN)).isFalse();
+    assertThat(instance(BORN_MS).isOtherLife(BORN_MS + 1)).isTrue();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestPausedReading.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestPausedReading.java
@@ -14,10 +14,10 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.handler.codec.http.HttpVersion;
-import io.pathdeck.fleet.adapter.EngineAnswer;
 import io.pathdeck.fleet.adapter.EngineCall;
 import io.pathdeck.fleet.adapter.EngineLoadReport;
 import io.pathdeck.fleet.adapter.EngineProtocol;
+import io.pathdeck.fleet.adapter.EngineResponse;
 import io.pathdeck.fleet.adapter.EngineTenant;
 import io.pathdeck.protocol.fleet.EngineInstance;
 import java.nio.charset.StandardCharsets;
@@ -30,22 +30,22 @@
   private static final EngineInstance ENGINE = new EngineInstance("e", "s", "h:1", "z", 4, false);
 
   private final EventLoop eventLoop = new DefaultEventLoop();
-  private final EngineProtocol protocol = new AnyAnswer();
+  private final EngineProtocol protocol = new FixedProtocol();
   private final EngineConnection connection =
       new EngineConnection(new NettyEngineTransport(eventLoop, protocol), protocol, ENGINE);
   private final EmbeddedChannel channel =
       new EmbeddedChannel(new HttpRequestEncoder(), new HttpResponseDecoder(), connection);
   private int ended;
 
-  private static final class AnyAnswer implements EngineProtocol {
+  private static final class FixedProtocol implements EngineProtocol {
     @Override
     public FullHttpRequest write(EngineCall call) {
       return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri());
     }
 
     @Override
-    public EngineAnswer read(HttpResponse head) {
-      return new EngineAnswer(
+    public EngineResponse read(HttpResponse head) {
+      return new EngineResponse(
           head.status().code(), "r", true, false, false, null, 0, 0, new DefaultHttpHeaders());
     }
 
@@ -68,19 +68,19 @@
             "/",
             "h",
             "r",
-            new EngineTenant.AsSent(),
+            new EngineTenant.PassThrough(),
             new DefaultHttpHeaders(),
             new byte[0],
             1_000,
             -1);
-    PendingCall pending = new PendingCall(call, new Counting());
+    PendingCall pending = new PendingCall(call, new CountingListener());
     connection.send(pending);
     return pending;
   }
 
-  private final class Counting implements EngineListener {
+  private final class CountingListener implements EngineListener {
     @Override
-    public void onHead(EngineAnswer answer) {}
+    public void onHead(EngineResponse answer) {}
 
     @Override
     public void onBody(byte[] part) {}
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void readingStopsAndGoesOn() {
+  void pausesAndResumesReading() {
     PendingCall call = send();
     call.pauseReading();
     assertThat(channel.config().isAutoRead()).isFalse();
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void connectionThatIsKeptAfterAPauseReadsAgain() {
+  void keptConnectionResumesReading() {
     PendingCall call = send();
     call.pauseReading();
     String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestPrompt.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestPrompt.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.pathdeck.fleet.adapter.CallerCall.PromptPart;
+import io.pathdeck.fleet.adapter.CallerRequest.PromptPart;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void promptOfOnePartOrNoneSharesNothing() {
+  void fewerThanTwoPartsShareNothing() {
     assertThat(Prompt.of(500, List.of())).isEqualTo(new Prompt(500, "", 0));
     assertThat(Prompt.of(500, List.of(part("a", 500)))).isEqualTo(new Prompt(500, "", 0));
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEventScanner.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestSseEventScanner.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class TestEventScanner {
+class TestSseEventScanner {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
@@ -19,10 +19,9 @@
   }
 
   @Property
-  void wholeEventsComeOutUnchangedHoweverTheBytesAreCut(
-      @ForAll @IntRange(min = 1, max = 40) int cut) {
+  void reassemblesEventsFromAnyChunks(@ForAll @IntRange(min = 1, max = 40) int cut) {
     String stream = event(1) + event(2) + event(3);
-    EventScanner scanner = new EventScanner(-1);
+    SseEventScanner scanner = new SseEventScanner(-1);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] all = bytes(stream);
     for (int from = 0; from < all.length; from += cut) {
@@ -31,43 +30,43 @@
     }
     assertThat(out.toString(StandardCharsets.UTF_8)).isEqualTo(stream);
     assertThat(scanner.lastId()).isEqualTo(3);
-    assertThat(scanner.isInsideEvent()).isFalse();
+    assertThat(scanner.hasPartialEvent()).isFalse();
     assertThat(scanner.problem()).isNull();
   }
 
   @Test
-  void partOfAnEventIsHeldBack() {
-    EventScanner scanner = new EventScanner(-1);
+  void buffersPartialEvent() {
+    SseEventScanner scanner = new SseEventScanner(-1);
     assertThat(scanner.feed(bytes(event(1) + "id: 2\nda"))).isEqualTo(bytes(event(1)));
-    assertThat(scanner.isInsideEvent()).isTrue();
+    assertThat(scanner.hasPartialEvent()).isTrue();
     assertThat(scanner.lastId()).isEqualTo(1);
   }
 
   @Test
-  void gapIsAProblemAndIsNotHandedOn() {
-    EventScanner scanner = new EventScanner(-1);
+  void rejectsGap() {
+    SseEventScanner scanner = new SseEventScanner(-1);
     byte[] out = scanner.feed(bytes(event(1) + event(3)));
     assertThat(out).isEqualTo(bytes(event(1)));
     assertThat(scanner.problem()).isNotNull();
   }
 
   @Test
-  void repeatedEventIsAProblem() {
-    EventScanner scanner = new EventScanner(4);
+  void rejectsRepeatedId() {
+    SseEventScanner scanner = new SseEventScanner(4);
     assertThat(scanner.feed(bytes(event(4)))).isEmpty();
     assertThat(scanner.problem()).isNotNull();
   }
 
   @Test
-  void resumedStreamGoesOnAfterTheLastEvent() {
-    EventScanner scanner = new EventScanner(4);
+  void resumesAfterLastEvent() {
+    SseEventScanner scanner = new SseEventScanner(4);
     assertThat(scanner.feed(bytes(event(5)))).isEqualTo(bytes(event(5)));
     assertThat(scanner.problem()).isNull();
   }
 
   @Test
-  void dataOfAllEventsIsJoinedByLineFeeds() {
+  void joinsDataWithLineFeeds() {
     String stream = "id: 1\ndata: a\n\nid: 2\nweight-versions:2\ndata:b\ndata: c\n\n";
-    assertThat(EventScanner.dataOf(bytes(stream))).isEqualTo("a\nb\nc");
+    assertThat(SseEventScanner.dataOf(bytes(stream))).isEqualTo("a\nb\nc");
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestTrafficSplit.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestTrafficSplit.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void sharesFollowTheWeights() {
+  void splitsByWeight() {
     RouteSpec route = route(new RouteTarget("a", 90), new RouteTarget("b", 10));
     TrafficSplit split = new TrafficSplit();
     Map<String, Integer> counts = new HashMap<>();
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void targetWithoutWeightGetsNothing() {
+  void skipsZeroWeightTarget() {
     RouteSpec route = route(new RouteTarget("a", 0), new RouteTarget("b", 1));
     TrafficSplit split = new TrafficSplit();
     for (int i = 0; i < 10; i++) {
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestAttemptBudget.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestAttemptBudget.java
@@ -32,41 +32,41 @@
   }
 
   @Test
-  void requestThatMayHaveRunIsNotRepeated() {
+  void unrepeatableRequestIsNotRetried() {
     for (RouteKind kind : List.of(RouteKind.UNSAFE, RouteKind.STREAM)) {
       AttemptBudget budget = new AttemptBudget(route(kind, 3, false), MAX_SENDS);
       budget.onSend();
-      assertThat(budget.mayTryAgain()).isFalse();
+      assertThat(budget.mayRetry()).isFalse();
       assertThat(budget.mayHaveRun()).isTrue();
     }
   }
 
   @Test
-  void refusedRequestGoesToAnotherEngineAndHasNotRun() {
+  void refusedRequestMayBeRetried() {
     AttemptBudget budget = new AttemptBudget(route(RouteKind.UNSAFE, 1, false), MAX_SENDS);
     budget.onSend();
     budget.onNotRun();
-    assertThat(budget.mayTryAgain()).isTrue();
+    assertThat(budget.mayRetry()).isTrue();
     assertThat(budget.mayHaveRun()).isFalse();
   }
 
   @Test
-  void repeatableRequestRunsOnNoMoreEnginesThanAllowed() {
+  void runsAreBoundedByMaxAttempts() {
     AttemptBudget budget = new AttemptBudget(route(RouteKind.STREAM, 2, true), MAX_SENDS);
     budget.onSend();
-    assertThat(budget.mayTryAgain()).isTrue();
+    assertThat(budget.mayRetry()).isTrue();
     budget.onSend();
-    assertThat(budget.mayTryAgain()).isFalse();
+    assertThat(budget.mayRetry()).isFalse();
   }
 
   @Test
-  void offersAreBounded() {
+  void sendsAreBounded() {
     AttemptBudget budget = new AttemptBudget(route(RouteKind.SAFE, 2, false), MAX_SENDS);
     for (int i = 0; i < MAX_SENDS; i++) {
-      assertThat(budget.mayTryAgain()).isTrue();
+      assertThat(budget.mayRetry()).isTrue();
       budget.onSend();
       budget.onNotRun();
     }
-    assertThat(budget.mayTryAgain()).isFalse();
+    assertThat(budget.mayRetry()).isFalse();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestGatewaySettings.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestGatewaySettings.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void coresAreUnknownUnlessToldAndMayBeAShareOfOne() {
+  void coresDefaultToUnknownAndMayBeFractional() {
     assertThat(settings().cores()).isEqualTo(FleetProcess.CORES_UNKNOWN);
     assertThat(read("cores: 0.27").value().cores()).isEqualTo(0.27);
     assertThat(read("cores: 2").value().cores()).isEqualTo(2);
@@ -45,43 +45,43 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"cores: -0.1", "cores: 1025", "cores: many"})
-  void coresOutOfBoundsAreRejectedByName(String line) {
+  void invalidCoresAreRejected(String line) {
     Result<GatewaySettings, SettingsError> result = read(line);
     assertThat(result.isOk()).isFalse();
     assertThat(result.error().problems()).singleElement().asString().contains("cores");
   }
 
   @Test
-  void configurationReplacesTheLimitsThatItStates() {
-    HttpLimits limits = settings().limitsUnder(new CallerLimits(32_768, 9_000_000, 60_000));
+  void configurationOverridesLimits() {
+    HttpLimits limits = settings().effectiveLimits(new CallerLimits(32_768, 9_000_000, 60_000));
     assertThat(limits).isEqualTo(new HttpLimits(32_768, 9_000_000, 9_000_000, 500, 60_000));
   }
 
   @Test
-  void limitsThatAConfigurationDoesNotStateStay() {
-    assertThat(settings().limitsUnder(CallerLimits.NONE)).isEqualTo(settings().limits());
+  void unspecifiedLimitsAreKept() {
+    assertThat(settings().effectiveLimits(CallerLimits.NONE)).isEqualTo(settings().limits());
   }
 
   @Test
-  void loadIsSharedUnaskedOnlyWhereEnginesSayThatTheyShareMachines() {
+  void shareLoadDefaultsToFalse() {
     assertThat(settings().shareLoad()).isFalse();
     assertThat(read("share_load: true\n").value().shareLoad()).isTrue();
   }
 
   @Test
-  void aSwitchThatIsNoBooleanIsRefused() {
+  void nonBooleanShareLoadIsRejected() {
     assertThat(read("share_load: often\n").isOk()).isFalse();
   }
 
   @Test
-  void memoryForCallersIsBoundedOnlyWhereSet() {
+  void memoryBudgetIsDisabledByDefault() {
     assertThat(settings().memoryBudgetBytes()).isZero();
     assertThat(read("memory_budget_mb: 48").value().memoryBudgetBytes()).isEqualTo(48L << 20);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"-1", "65537", "much", "3"})
-  void memoryBudgetOutOfBoundsOrBelowOneBodyIsRejectedByName(String value) {
+  void invalidMemoryBudgetIsRejected(String value) {
     Result<GatewaySettings, SettingsError> result = read("memory_budget_mb: " + value);
     assertThat(result.isOk()).isFalse();
     assertThat(result.error().problems()).singleElement().asString().contains("memory_budget_mb");
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
@@ -16,99 +16,99 @@
 
   private final MemoryMetrics metrics = new MemoryMetrics();
   private final MemoryBudget budget = new MemoryBudget(MAX_BYTES, metrics);
-  private final List<String> givenUp = new ArrayList<>();
+  private final List<String> evicted = new ArrayList<>();
 
   private HeldMemory request(String name, String tenant, boolean notSent) {
     HeldMemory memory = budget.open();
     memory.belongTo(
         tenant,
         () -> {
-          givenUp.add(name);
+          evicted.add(name);
           return notSent;
         });
     return memory;
   }
 
-  private HeldMemory waiting(String name, String tenant, long bytes) {
+  private HeldMemory requestWithBody(String name, String tenant, long bytes) {
     HeldMemory memory = request(name, tenant, true);
     assertThat(memory.tryHoldBody(bytes)).isTrue();
     return memory;
   }
 
   @Test
-  void allIsKeptUpToTheBound() {
-    waiting("a", "t", 600);
-    waiting("b", "u", 400);
-    assertThat(givenUp).isEmpty();
+  void keepsEverythingUpToLimit() {
+    requestWithBody("a", "t", 600);
+    requestWithBody("b", "u", 400);
+    assertThat(evicted).isEmpty();
     assertThat(budget.heldBytes()).isEqualTo(MAX_BYTES);
   }
 
   @Test
-  void largestOfTheTenantThatHoldsMostGoesFirst() {
-    waiting("small", "flood", 200);
-    waiting("large", "flood", 350);
-    waiting("largest of all", "quiet", 400);
-    waiting("new", "quiet", 100);
-    assertThat(givenUp).containsExactly("large");
+  void evictsLargestRequestOfLargestTenant() {
+    requestWithBody("small", "flood", 200);
+    requestWithBody("large", "flood", 350);
+    requestWithBody("largest of all", "quiet", 400);
+    requestWithBody("new", "quiet", 100);
+    assertThat(evicted).containsExactly("large");
     assertThat(budget.heldBytes("quiet")).isEqualTo(500);
     assertThat(budget.heldBytes()).isEqualTo(700);
   }
 
   @Test
-  void floodRejectsItselfAndNobodyElse() {
-    waiting("quiet", "quiet", 100);
+  void floodingTenantEvictsOnlyItself() {
+    requestWithBody("quiet", "quiet", 100);
     for (int i = 0; i < 500; i++) {
       request("flood", "flood", true).tryHoldBody(90);
     }
-    assertThat(givenUp).doesNotContain("quiet");
+    assertThat(evicted).doesNotContain("quiet");
     assertThat(budget.heldBytes()).isBetween(MAX_BYTES - 100, MAX_BYTES);
     assertThat(metrics.rejected()).isEqualTo(490);
-    assertThat(metrics.brokenOff()).isZero();
+    assertThat(metrics.aborted()).isZero();
   }
 
   @Test
-  void askingRequestThatIsTheCostliestIsRefusedAndNotTold() {
-    waiting("a", "t", 300);
+  void refusesRequesterThatWouldBeEvicted() {
+    requestWithBody("a", "t", 300);
     HeldMemory large = request("large", "u", true);
     assertThat(large.tryHoldBody(800)).isFalse();
-    assertThat(givenUp).isEmpty();
+    assertThat(evicted).isEmpty();
     assertThat(budget.heldBytes()).isEqualTo(300);
     assertThat(metrics.rejected()).isEqualTo(1);
   }
 
   @Test
-  void whatMayHaveRunIsBrokenOffAndNotCountedAsRejected() {
+  void startedRequestCountsAsAborted() {
     HeldMemory stream = request("stream", "t", false);
     assertThat(stream.tryHoldAnswer(900)).isTrue();
-    waiting("a", "u", 200);
-    assertThat(givenUp).containsExactly("stream");
-    assertThat(metrics.brokenOff()).isEqualTo(1);
+    requestWithBody("a", "u", 200);
+    assertThat(evicted).containsExactly("stream");
+    assertThat(metrics.aborted()).isEqualTo(1);
     assertThat(metrics.rejected()).isZero();
   }
 
   @Test
-  void requestThatCannotBeGivenUpStaysAndCountsOn() {
-    HeldMemory job = waiting("job", "t", 900);
+  void unevictableRequestStaysCounted() {
+    HeldMemory job = requestWithBody("job", "t", 900);
     job.cannotBeGivenUp();
     assertThat(request("new", "u", true).tryHoldBody(200)).isFalse();
     assertThat(job.tryHoldAnswer(200)).isFalse();
-    assertThat(givenUp).isEmpty();
+    assertThat(evicted).isEmpty();
     assertThat(budget.heldBytes()).isEqualTo(900);
   }
 
   @Test
-  void partsThatSlowReadersTakeLaterAreReleasedOnce() {
+  void evictedBytesAreReleasedOnce() {
     HeldMemory stream = request("stream", "t", false);
     stream.tryHoldAnswer(900);
-    waiting("a", "u", 200);
+    requestWithBody("a", "u", 200);
     stream.releaseAnswer(900);
     assertThat(budget.heldBytes()).isEqualTo(200);
   }
 
   @Test
-  void connectionOfARequestThatWasGivenUpHoldsAgainAfterItsEnd() {
-    HeldMemory memory = waiting("first", "t", 900);
-    waiting("other", "u", 200);
+  void connectionIsReusableAfterEviction() {
+    HeldMemory memory = requestWithBody("first", "t", 900);
+    requestWithBody("other", "u", 200);
     assertThat(memory.tryHoldAnswer(1)).as("before its end").isFalse();
     memory.releaseAll();
     assertThat(memory.tryHoldBody(100)).isTrue();
@@ -117,8 +117,8 @@
   }
 
   @Test
-  void ownersMayFreeMoreWhileTheyGiveUp() {
-    HeldMemory second = waiting("second", "t", 300);
+  void ownerMayReleaseOthersDuringEviction() {
+    HeldMemory second = requestWithBody("second", "t", 300);
     HeldMemory first = budget.open();
     first.belongTo(
         "t",
@@ -127,13 +127,13 @@
           return true;
         });
     first.tryHoldBody(500);
-    waiting("new", "u", 300);
+    requestWithBody("new", "u", 300);
     assertThat(budget.heldBytes()).isEqualTo(300);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void boundHoldsUnderAnyMixOfBodiesAnswersAndEnds(long seed) {
+  void limitHoldsUnderRandomOperations(long seed) {
     Random random = new Random(seed);
     List<HeldMemory> requests = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -146,7 +146,7 @@
     }
     requests.forEach(HeldMemory::releaseAll);
     assertThat(budget.heldBytes()).isZero();
-    assertThat(metrics.rejected() + metrics.brokenOff()).isPositive();
+    assertThat(metrics.rejected() + metrics.aborted()).isPositive();
   }
 
   private static void act(HeldMemory memory, Random random, int chosen) {
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
@@ -24,13 +24,13 @@
   private final List<Runnable> timers = new ArrayList<>();
   private final List<String> sent = new ArrayList<>();
   private final List<String> rejected = new ArrayList<>();
-  private boolean competing = true;
-  private boolean tellsPace;
+  private boolean callersCompete = true;
+  private boolean reportsPace;
   private long nowMs = 1_000;
   private final RequestDispatcher dispatcher =
       new RequestDispatcher(
           engines,
-          new RequestDispatcher.Switch(() -> competing, engine -> tellsPace),
+          new RequestDispatcher.QueueingRule(() -> callersCompete, engine -> reportsPace),
           (delayMs, action) -> timers.add(action),
           () -> nowMs,
           new QueueMetrics());
@@ -47,14 +47,14 @@
     }
 
     @Override
-    public Needs needs() {
+    public DispatchAttributes attributes() {
       Rank rank = new Rank(false, 0, 0);
       long dueMs = deadlineMs - 5_000 + DUE_AFTER_MS;
-      return new Needs(SERVICE, tenant, rank, dueMs, deadlineMs, 10, 1, true);
+      return new DispatchAttributes(SERVICE, tenant, rank, dueMs, deadlineMs, 10, 1, true);
     }
 
     @Override
-    public Set<String> tried() {
+    public Set<String> triedEngineIds() {
       return Set.of();
     }
 
@@ -94,17 +94,17 @@
   }
 
   /** A request that held its place for {@code heldMs} leaves the engine. */
-  private void freePlace(long heldMs) {
-    EngineUse use = new EngineUse(new Placement(engine(), 0), nowMs - heldMs);
+  private void freeSlot(long heldMs) {
+    AttemptTracker use = new AttemptTracker(new Placement(engine(), 0), nowMs - heldMs);
     use.onFirstBytes(40, null, nowMs - heldMs);
     use.end();
-    dispatcher.onPlaceFreed(SERVICE, use);
+    dispatcher.onSlotFreed(SERVICE, use);
     runTimers();
   }
 
   @Test
-  void sendsAtOnceWhereNobodyCompetes() {
-    competing = false;
+  void sendsImmediatelyWithoutCompetition() {
+    callersCompete = false;
     fillEngine();
     submit("a", "t");
     assertThat(sent).containsExactly("a");
@@ -112,46 +112,46 @@
   }
 
   @Test
-  void waitsWhereEnginesTellTheirPace() {
-    competing = false;
-    tellsPace = true;
+  void queuesWhenEnginesReportPace() {
+    callersCompete = false;
+    reportsPace = true;
     fillEngine();
     submit("a", "t");
     assertThat(sent).isEmpty();
   }
 
   @Test
-  void sendsAtOnceWithoutKnowledgeOfTheEngine() {
+  void sendsImmediatelyWhenLoadIsUnknown() {
     engines.update(Map.of("e", new EngineInstance("e", SERVICE, "h:1", "z", SLOTS, false)));
     submit("a", "t");
     assertThat(sent).containsExactly("a");
   }
 
   @Test
-  void placesThatBecomeFreeGoRoundBetweenTenants() {
+  void freedSlotsAlternateBetweenTenants() {
     fillEngine();
     submit("hot1", "hot");
     submit("hot2", "hot");
     submit("hot3", "hot");
     submit("small", "small");
-    freePlace(100);
-    freePlace(100);
+    freeSlot(100);
+    freeSlot(100);
     assertThat(sent).containsExactly("hot1", "small");
   }
 
   @Test
-  void reportOfRoomSendsWhatWaits() {
+  void freeCapacitySendsQueuedRequests() {
     engines.update(Map.of("e", new EngineInstance("e", SERVICE, "h:1", "z", SLOTS, false)));
-    engine().onLoad(new EngineLoadReport(SLOTS, 4, SLOTS), nowMs);
+    engine().onLoadReport(new EngineLoadReport(SLOTS, 4, SLOTS), nowMs);
     submit("a", "t");
     assertThat(sent).isEmpty();
-    engine().onLoad(new EngineLoadReport(0, 0, SLOTS), nowMs);
+    engine().onLoadReport(new EngineLoadReport(0, 0, SLOTS), nowMs);
     runTimers();
     assertThat(sent).containsExactly("a");
   }
 
   @Test
-  void isSentToTheFullEngineWhenItHasWaitedLongEnough() {
+  void sendsToFullEngineAfterMaximumWait() {
     fillEngine();
     submit("a", "t");
     nowMs += DUE_AFTER_MS / 2 - 1;
@@ -164,7 +164,7 @@
   }
 
   @Test
-  void requestOfACallerThatLeftIsNeverSent() {
+  void removedRequestIsNeverSent() {
     fillEngine();
     FakeRequest left = submit("left", "t");
     submit("stays", "t");
@@ -176,10 +176,10 @@
   }
 
   @Test
-  void rejectsAtOnceWhatNoEngineTakesInTime() {
+  void rejectsRequestThatWouldMissDeadline() {
     fillEngine();
     submit("a", "t");
-    freePlace(4_000);
+    freeSlot(4_000);
     submit("hopeless", "t");
     assertThat(rejected).isEmpty();
     dispatcher.submit(new FakeRequest("hopeless", "t", 1_000));
@@ -188,7 +188,7 @@
   }
 
   @Test
-  void floodGivesWayWhenTooManyWait() {
+  void fullQueueRejectsFloodingTenant() {
     fillEngine();
     submit("small", "small");
     for (int i = 0; i < 300; i++) {
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSlowCallers.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSlowCallers.java
@@ -11,12 +11,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.pathdeck.common.http.EventLoops;
 import io.pathdeck.common.settings.HostPort;
-import io.pathdeck.fleet.adapter.CallerCall;
-import io.pathdeck.fleet.adapter.EngineAnswer;
+import io.pathdeck.fleet.adapter.CallerRequest;
 import io.pathdeck.fleet.adapter.EngineCall;
 import io.pathdeck.fleet.adapter.EngineLoadReport;
 import io.pathdeck.fleet.adapter.EngineProtocol;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.adapter.EngineResponse;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.engine.NettyEngineTransport;
 import io.pathdeck.protocol.fleet.CallerTenant;
@@ -64,27 +64,27 @@
   private static final long WAIT_MS = 20_000;
 
   /** An engine that may send nothing for so long is given up, where another may take over. */
-  private static final long LONGER_THAN_SILENCE_MS = 800;
+  private static final long LONGER_THAN_SILENCE_TIMEOUT_MS = 800;
 
   private final EventLoopGroup eventLoops = EventLoops.create(1);
   private final EventLoop eventLoop = eventLoops.next();
   private final RequestMetrics metrics = new RequestMetrics();
   private final MemoryBudget budget = new MemoryBudget(BUDGET_BYTES, metrics.memory());
-  private final AtomicLong mostHeldBytes = new AtomicLong();
-  private final AtomicLong bytesOfEngine = new AtomicLong();
-  private final AtomicLong callsCut = new AtomicLong();
+  private final AtomicLong maxHeldBytes = new AtomicLong();
+  private final AtomicLong engineBytesSent = new AtomicLong();
+  private final AtomicLong abortedEngineCalls = new AtomicLong();
   private final AtomicLong callsStarted = new AtomicLong();
   private final EngineTable engines = new EngineTable(250);
-  private final Map<String, Long> lengths = new ConcurrentHashMap<>();
+  private final Map<String, Long> eventCounts = new ConcurrentHashMap<>();
   private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
   private ServerSocket engine;
   private HttpServer server;
   private int serverPort;
-  private volatile boolean requestsWait;
-  private ForwardingContext shared;
+  private volatile boolean queueRequests;
+  private ForwardingContext context;
 
   /** Echoes the id of the request, as an engine of the tests does. */
-  private static final class PlainProtocol implements EngineProtocol {
+  private static final class EchoProtocol implements EngineProtocol {
     @Override
     public FullHttpRequest write(EngineCall call) {
       FullHttpRequest request =
@@ -94,10 +94,11 @@
     }
 
     @Override
-    public EngineAnswer read(HttpResponse head) {
+    public EngineResponse read(HttpResponse head) {
       String id = head.headers().get("x-id", "");
       int status = head.status().code();
-      return new EngineAnswer(status, id, true, false, false, null, 0, 0, new DefaultHttpHeaders());
+      return new EngineResponse(
+          status, id, true, false, false, null, 0, 0, new DefaultHttpHeaders());
     }
 
     @Override
@@ -120,18 +121,18 @@
     RequestDispatcher dispatcher =
         new RequestDispatcher(
             engines,
-            new RequestDispatcher.Switch(() -> requestsWait, state -> false),
+            new RequestDispatcher.QueueingRule(() -> queueRequests, state -> false),
             (delayMs, action) -> eventLoop.schedule(action, delayMs, TimeUnit.MILLISECONDS),
             () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()),
             metrics.queue());
-    shared =
+    context =
         new ForwardingContext(
             eventLoop,
-            new NettyEngineTransport(eventLoop, new PlainProtocol()),
+            new NettyEngineTransport(eventLoop, new EchoProtocol()),
             engines,
-            new EngineChoice("z", 1),
+            new EngineLoadBalancer("z", 1),
             ForwardingSettings.DEFAULT,
-            new SilenceLimit(ForwardingSettings.DEFAULT),
+            new SilenceTimeout(ForwardingSettings.DEFAULT),
             metrics,
             dispatcher,
             callsStarted::incrementAndGet,
@@ -165,9 +166,9 @@
   }
 
   private void check() {
-    mostHeldBytes.accumulateAndGet(budget.heldBytes(), Math::max);
+    maxHeldBytes.accumulateAndGet(budget.heldBytes(), Math::max);
     long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-    new ArrayList<>(shared.active()).forEach(request -> request.checkSilence(nowMs));
+    new ArrayList<>(context.activeRequests()).forEach(request -> request.checkSilence(nowMs));
   }
 
   private void forward(HttpExchange exchange) {
@@ -193,13 +194,14 @@
             0,
             0,
             true);
-    CallerCall.Request request =
-        new CallerCall.Request(
+    CallerRequest.Routed request =
+        new CallerRequest.Routed(
             id, "h", exchange.path(), 0, -1, 0, 0, List.of(), "", new DefaultHttpHeaders());
-    CallerIdentity caller = new CallerIdentity.Known(new CallerTenant(tenant, List.of(), 0, 0, 0));
+    CallerIdentity caller =
+        new CallerIdentity.Authenticated(new CallerTenant(tenant, List.of(), 0, 0, 0));
     long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-    RequestPermission permission = new RequestPermission(caller, () -> true);
-    new RequestForwarder(shared, exchange, request, route, SERVICE, 1, permission, nowMs).start();
+    RequestAuthorization permission = new RequestAuthorization(caller, () -> true);
+    new RequestForwarder(context, exchange, request, route, SERVICE, 1, permission, nowMs).start();
   }
 
   // ---- the engine
@@ -219,20 +221,20 @@
   private void answer(Socket call) {
     try {
       String id = header(readHead(call.getInputStream()), "x-id");
-      if (!lengths.containsKey(id)) {
+      if (!eventCounts.containsKey(id)) {
         return;
       }
-      long events = lengths.get(id);
+      long events = eventCounts.get(id);
       OutputStream out = call.getOutputStream();
       long length = events * EVENT_BYTES;
       String head = "HTTP/1.1 200 OK\r\nx-id: " + id + "\r\nContent-Length: " + length;
       out.write((head + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
       for (long i = 0; i < events; i++) {
         out.write(event(i));
-        bytesOfEngine.addAndGet(EVENT_BYTES);
+        engineBytesSent.addAndGet(EVENT_BYTES);
       }
     } catch (IOException e) {
-      callsCut.incrementAndGet();
+      abortedEngineCalls.incrementAndGet();
     }
   }
 
@@ -265,7 +267,7 @@
   // ---- callers
 
   private Socket call(String path, String id, String tenant, long events) throws IOException {
-    lengths.put(id, events);
+    eventCounts.put(id, events);
     return send(path, id, tenant, 0, 0);
   }
 
@@ -288,7 +290,7 @@
     for (int i = 0; i <= BUDGET_BYTES / sent; i++) {
       callers.add(send("/stream", "b" + i, "t", announced, sent));
     }
-    await(() -> metrics.memory().rejected() + metrics.memory().brokenOff() > 0);
+    await(() -> metrics.memory().rejected() + metrics.memory().aborted() > 0);
     List<String> heads = new ArrayList<>();
     for (Socket caller : callers) {
       caller.setSoTimeout(200);
@@ -325,14 +327,14 @@
   }
 
   @Test
-  void engineWaitsForACallerThatPausesAndTheAnswerIsWhole() throws Exception {
+  void pausedCallerGetsCompleteResponse() throws Exception {
     long events = 4_000;
     Socket caller = call("/resumable", "a", "t", events);
     await(() -> metrics.memory().readsPaused() > 0);
-    Thread.sleep(LONGER_THAN_SILENCE_MS);
-    long whilePaused = bytesOfEngine.get();
+    Thread.sleep(LONGER_THAN_SILENCE_TIMEOUT_MS);
+    long whilePaused = engineBytesSent.get();
     assertThat(whilePaused).isLessThan(events * EVENT_BYTES);
-    assertThat(mostHeldBytes.get()).isLessThan(2 * ReadPause.HIGH_BYTES);
+    assertThat(maxHeldBytes.get()).isLessThan(2 * ReadPause.HIGH_WATERMARK_BYTES);
     readHead(caller.getInputStream());
     long total = 0;
     byte[] buffer = new byte[1 << 16];
@@ -341,23 +343,23 @@
       assertThat(read).isPositive();
       total += read;
     }
-    assertThat(metrics.memory().brokenOff()).isZero();
-    assertThat(callsCut.get()).isZero();
-    await(() -> heldNow() == 0);
+    assertThat(metrics.memory().aborted()).isZero();
+    assertThat(abortedEngineCalls.get()).isZero();
+    await(() -> heldBytes() == 0);
   }
 
-  private long heldNow() {
+  private long heldBytes() {
     return eventLoop.submit(() -> budget.heldBytes()).syncUninterruptibly().getNow();
   }
 
   @Test
-  void readersThatStopAreBrokenOffAtTheBudgetAndOthersAreServed() throws Exception {
+  void stalledReadersAreAbortedAtBudget() throws Exception {
     List<Socket> stopped = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       stopped.add(call("/stream", "stopped" + i, "slow", 20_000));
     }
-    await(() -> metrics.memory().brokenOff() >= 2 && callsCut.get() >= 2);
-    assertThat(mostHeldBytes.get()).isLessThanOrEqualTo(BUDGET_BYTES);
+    await(() -> metrics.memory().aborted() >= 2 && abortedEngineCalls.get() >= 2);
+    assertThat(maxHeldBytes.get()).isLessThanOrEqualTo(BUDGET_BYTES);
     Socket quick = call("/stream", "quick", "other", 3);
     assertThat(readHead(quick.getInputStream())).startsWith("HTTP/1.1 200");
     assertThat(metrics.memory().rejected()).isZero();
@@ -368,31 +370,31 @@
   }
 
   @Test
-  void collectedAnswerBeyondTheBudgetIsSaidToHaveFailedAndNotToBeNotRun() throws Exception {
+  void oversizedBufferedResponseIsReportedAsFailed() throws Exception {
     Socket caller = call("/whole", "large", "t", 2 * BUDGET_BYTES / EVENT_BYTES);
     String head = readHead(caller.getInputStream());
     assertThat(head).startsWith("HTTP/1.1 502").doesNotContainIgnoringCase("retry-after");
-    assertThat(mostHeldBytes.get()).isLessThanOrEqualTo(BUDGET_BYTES);
-    assertThat(metrics.memory().brokenOff()).isEqualTo(1);
+    assertThat(maxHeldBytes.get()).isLessThanOrEqualTo(BUDGET_BYTES);
+    assertThat(metrics.memory().aborted()).isEqualTo(1);
     // The memory is freed once the answer has been written, so a moment after its caller has it.
-    await(() -> heldNow() == 0);
+    await(() -> heldBytes() == 0);
   }
 
   @Test
-  void bodiesThatAreStillReadAreRejectedWithATimeToComeBack() throws Exception {
+  void incompleteBodiesAreRejectedWithRetryAfter() throws Exception {
     List<String> heads = sendTooManyBodies(60_001, 60_000);
     assertThat(heads).hasSize(1);
     assertThat(heads.get(0)).startsWith("HTTP/1.1 503").containsIgnoringCase("retry-after: 2");
   }
 
   @Test
-  void requestsThatWaitForAnEngineAreRejectedWithATimeToComeBack() throws Exception {
-    requestsWait = true;
+  void queuedRequestsAreRejectedWithRetryAfter() throws Exception {
+    queueRequests = true;
     eventLoop.submit(this::fillEngine).syncUninterruptibly();
     List<String> heads = sendTooManyBodies(60_000, 60_000);
     assertThat(heads).hasSize(1);
     assertThat(heads.get(0)).startsWith("HTTP/1.1 503").containsIgnoringCase("retry-after: 1.000");
-    assertThat(metrics.memory().brokenOff()).isZero();
+    assertThat(metrics.memory().aborted()).isZero();
     assertThat(callsStarted.get()).as("what waits is no call under way").isZero();
   }
 
@@ -403,7 +405,7 @@
   }
 
   @Test
-  void requestsThatWereSentAreNeverSaidNotToHaveRun() throws Exception {
+  void sentRequestsAreNotReportedAsNotRun() throws Exception {
     List<String> heads = sendTooManyBodies(60_000, 60_000);
     assertThat(heads).hasSize(1);
     assertThat(heads.get(0)).startsWith("HTTP/1.1 502").doesNotContainIgnoringCase("retry-after");
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestStartRefusal.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestStartupRetryDelay.java
@@ -6,24 +6,24 @@
 import io.pathdeck.fleet.member.StartProgress.Phase;
 import org.junit.jupiter.api.Test;
 
-class TestStartRefusal {
+class TestStartupRetryDelay {
   private static final long NO_DEADLINE_MS = 0;
   private static final long LONG_AGE_MS = 60_000;
 
   private static long retryAfterMs(Phase phase, long ageMs, long deadlineMs, double random) {
-    return StartRefusal.retryAfterMs(new StartProgress(phase, ageMs), deadlineMs, random);
+    return StartupRetryDelay.retryAfterMs(new StartProgress(phase, ageMs), deadlineMs, random);
   }
 
   @Test
-  void callersComeBackWhenServiceIsLikelyAndNotAllAtOnce() {
+  void delaysAreSpreadAfterExpectedStart() {
     long earliestMs = retryAfterMs(Phase.NO_COORDINATOR, 400, NO_DEADLINE_MS, 0);
     long latestMs = retryAfterMs(Phase.NO_COORDINATOR, 400, NO_DEADLINE_MS, 1);
-    assertThat(earliestMs).isEqualTo(StartRefusal.USUAL_START_MS - 400);
-    assertThat(latestMs).isEqualTo(earliestMs + StartRefusal.SPREAD_MS);
+    assertThat(earliestMs).isEqualTo(StartupRetryDelay.TYPICAL_STARTUP_MS - 400);
+    assertThat(latestMs).isEqualTo(earliestMs + StartupRetryDelay.JITTER_MS);
   }
 
   @Test
-  void theFartherTheStartTheSoonerTheReturn() {
+  void laterPhasesHaveShorterDelays() {
     long toldNothingMs = retryAfterMs(Phase.NO_COORDINATOR, 0, NO_DEADLINE_MS, 0.5);
     long withoutLeaderMs = retryAfterMs(Phase.NO_LEADER, 0, NO_DEADLINE_MS, 0.5);
     long withoutListMs = retryAfterMs(Phase.LIST_MISSING, 0, NO_DEADLINE_MS, 0.5);
@@ -32,15 +32,15 @@
   }
 
   @Test
-  void startThatTakesLongBringsNoCrestOfReturns() {
+  void slowStartKeepsMinimumDelay() {
     for (Phase phase : new Phase[] {Phase.NO_COORDINATOR, Phase.NO_LEADER}) {
       assertThat(retryAfterMs(phase, LONG_AGE_MS, NO_DEADLINE_MS, 0))
-          .isEqualTo(StartRefusal.MIN_MS);
+          .isEqualTo(StartupRetryDelay.MIN_DELAY_MS);
     }
   }
 
   @Test
-  void callersAreToldNoLongerThanTheyMayWait() {
+  void delayIsBoundedByDeadline() {
     long deadlineMs = 3_000;
     long usableMs = deadlineMs / 3;
     assertThat(retryAfterMs(Phase.NO_COORDINATOR, 0, deadlineMs, 1)).isEqualTo(usableMs);
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
@@ -19,45 +19,45 @@
   private static final long FIRST_STEP_MS = 2_000;
 
   /** One way of keeping the limit. */
-  interface Way {
+  interface Strategy {
     boolean admit(int gateway, long nowMs, boolean leaderAnswers);
 
     void heartbeat(int gateway, long nowMs);
   }
 
   /** The contract: how far above the limit a window may be is the caller's matter. */
-  record Outcome(int mostInWindow, int asked, int refused, int refusedInsideLimit) {
-    double refusedInsideShare() {
-      return asked == 0 ? 0 : (double) refusedInsideLimit / asked;
+  record Outcome(int maxInWindow, int requests, int refused, int refusedWithinLimit) {
+    double refusedWithinLimitShare() {
+      return requests == 0 ? 0 : (double) refusedWithinLimit / requests;
     }
   }
 
   private final int gateways;
   private final CallerTenant tenant;
   private final Random random;
-  private final double lostShare;
-  private final long leaderGoneFromMs;
-  private final long leaderGoneUntilMs;
+  private final double lossRate;
+  private final long leaderDownFromMs;
+  private final long leaderDownUntilMs;
 
   LimitSimulation(
       int gateways, CallerTenant tenant, long seed, double lostShare, long goneMs, long goneForMs) {
     this.gateways = gateways;
     this.tenant = tenant;
     this.random = new Random(seed);
-    this.lostShare = lostShare;
-    this.leaderGoneFromMs = goneMs;
-    this.leaderGoneUntilMs = goneMs + goneForMs;
+    this.lossRate = lostShare;
+    this.leaderDownFromMs = goneMs;
+    this.leaderDownUntilMs = goneMs + goneForMs;
   }
 
   private boolean leaderAnswers(long nowMs) {
-    boolean gone = nowMs >= leaderGoneFromMs && nowMs < leaderGoneUntilMs;
-    return !gone && random.nextDouble() >= lostShare;
+    boolean gone = nowMs >= leaderDownFromMs && nowMs < leaderDownUntilMs;
+    return !gone && random.nextDouble() >= lossRate;
   }
 
   /** Plays {@code durationMs} of traffic at a rate that changes with time. */
-  Outcome play(Way way, LongToDoubleFunction requestsPerSecond, long durationMs) {
-    SlidingCount admitted = new SlidingCount(WINDOW_MS);
-    SlidingCount asked = new SlidingCount(WINDOW_MS);
+  Outcome run(Strategy way, LongToDoubleFunction requestsPerSecond, long durationMs) {
+    SlidingWindowCounter admitted = new SlidingWindowCounter(WINDOW_MS);
+    SlidingWindowCounter asked = new SlidingWindowCounter(WINDOW_MS);
     double limit = tenant.maxRequestsIn(WINDOW_MS);
     int most = 0;
     int count = 0;
@@ -107,10 +107,10 @@
   }
 
   /** Each gateway has the same fixed share of the limit. */
-  Way equalShares() {
-    List<SlidingCount> own = windows();
+  Strategy equalShares() {
+    List<SlidingWindowCounter> own = windows();
     double share = tenant.maxRequestsIn(WINDOW_MS) / gateways;
-    return new Way() {
+    return new Strategy() {
       @Override
       public boolean admit(int gateway, long nowMs, boolean leaderAnswers) {
         boolean fits = own.get(gateway).total(nowMs) + 1 <= share;
@@ -126,12 +126,12 @@
   }
 
   /** Each gateway admits on the sum of all windows as it was told last. */
-  Way toldSums() {
-    List<SlidingCount> own = windows();
+  Strategy reportedSums() {
+    List<SlidingWindowCounter> own = windows();
     int[] reported = new int[gateways];
     int[] toldOthers = new int[gateways];
     double limit = tenant.maxRequestsIn(WINDOW_MS);
-    return new Way() {
+    return new Strategy() {
       @Override
       public boolean admit(int gateway, long nowMs, boolean leaderAnswers) {
         boolean fits = toldOthers[gateway] + own.get(gateway).total(nowMs) + 1 <= limit;
@@ -154,17 +154,17 @@
   }
 
   /** The code of the gateways and of the leader. */
-  Way freeUntilContended() {
+  Strategy leaderWhenContended() {
     TenantLedger ledger = new TenantLedger(WINDOW_MS);
-    List<GatewayAdmissions> admissions = new ArrayList<>();
+    List<AdmissionController> admissions = new ArrayList<>();
     for (int i = 0; i < gateways; i++) {
-      admissions.add(new GatewayAdmissions(WINDOW_MS, 0));
+      admissions.add(new AdmissionController(WINDOW_MS, 0));
     }
     String name = tenant.name();
-    return new Way() {
+    return new Strategy() {
       @Override
       public boolean admit(int gateway, long nowMs, boolean leaderAnswers) {
-        GatewayAdmissions own = admissions.get(gateway);
+        AdmissionController own = admissions.get(gateway);
         boolean admitted =
             switch (own.decide(name, nowMs)) {
               case ADMIT -> true;
@@ -177,9 +177,9 @@
         return admitted;
       }
 
-      private boolean ask(GatewayAdmissions own, int gateway, long nowMs, boolean leaderAnswers) {
+      private boolean ask(AdmissionController own, int gateway, long nowMs, boolean leaderAnswers) {
         if (!leaderAnswers) {
-          return own.mayAdmitUnanswered(name, nowMs);
+          return own.mayAdmitWithoutLeader(name, nowMs);
         }
         boolean granted = ledger.tryAdmit("g" + gateway, 1, tenant, nowMs);
         if (!granted) {
@@ -190,18 +190,18 @@
 
       @Override
       public void heartbeat(int gateway, long nowMs) {
-        List<TenantUse> uses = admissions.get(gateway).uses(nowMs);
-        ledger.note("g" + gateway, 1, uses, nowMs);
+        List<TenantUse> uses = admissions.get(gateway).tenantUses(nowMs);
+        ledger.onHeartbeat("g" + gateway, 1, uses, nowMs);
         ledger.expire(nowMs);
-        admissions.get(gateway).onTold(ledger.contended(List.of(tenant)), nowMs);
+        admissions.get(gateway).onContendedTenants(ledger.contended(List.of(tenant)), nowMs);
       }
     };
   }
 
-  private List<SlidingCount> windows() {
-    List<SlidingCount> windows = new ArrayList<>();
+  private List<SlidingWindowCounter> windows() {
+    List<SlidingWindowCounter> windows = new ArrayList<>();
     for (int i = 0; i < gateways; i++) {
-      windows.add(new SlidingCount(WINDOW_MS));
+      windows.add(new SlidingWindowCounter(WINDOW_MS));
     }
     return windows;
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitWaysTable.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitStrategyTable.java
@@ -5,11 +5,11 @@
 import java.util.Locale;
 
 /** Prints three ways of keeping a limit side by side, for docs/design/tenant-limits.md. */
-final class LimitWaysTable {
-  private static final long PLAY_MS = 40_000;
+final class LimitStrategyTable {
+  private static final long DURATION_MS = 40_000;
   private static final long SEED = 7;
 
-  private LimitWaysTable() {}
+  private LimitStrategyTable() {}
 
   public static void main(String[] args) {
     for (int gateways : new int[] {10, 47, 300}) {
@@ -25,15 +25,15 @@
     for (String name : List.of("equal shares", "told sums", "leader when contended")) {
       LimitSimulation simulation =
           new LimitSimulation(gateways, tenant, SEED, 0, Long.MAX_VALUE / 2, 0);
-      LimitSimulation.Way way =
+      LimitSimulation.Strategy way =
           switch (name) {
             case "equal shares" -> simulation.equalShares();
-            case "told sums" -> simulation.toldSums();
-            default -> simulation.freeUntilContended();
+            case "told sums" -> simulation.reportedSums();
+            default -> simulation.leaderWhenContended();
           };
       LimitSimulation.Outcome outcome =
-          simulation.play(
-              way, LimitSimulation.steps(0.38 * mean, 1.87 * mean, 3_400, 2_400), PLAY_MS);
+          simulation.run(
+              way, LimitSimulation.steps(0.38 * mean, 1.87 * mean, 3_400, 2_400), DURATION_MS);
       System.out.printf(
           Locale.ROOT,
           "| %d | %.0f | %.1f | %s | %d | %.1f |%n",
@@ -41,8 +41,8 @@
           tenant.requestsPerSecond(),
           mean / tenant.requestsPerSecond(),
           name,
-          outcome.mostInWindow(),
-          100 * outcome.refusedInsideShare());
+          outcome.maxInWindow(),
+          100 * outcome.refusedWithinLimitShare());
     }
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
@@ -1,7 +1,7 @@
 package io.pathdeck.fleet.load;
 
 import io.pathdeck.fleet.adapter.EngineLoadReport;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.engine.Prompt;
@@ -24,12 +24,12 @@
   private static final int ENGINES = 20;
   private static final int SLOTS = 8;
   private static final long REPORT_HALF_LIFE_MS = 250;
-  private static final long LENGTH_MS = 24_000;
-  private static final long DEATH_MS = 10_400;
-  private static final long CREST_PERIOD_MS = 3_000;
-  private static final long CREST_MS = 1_500;
-  private static final double CREST_PER_MS = 0.205;
-  private static final double TROUGH_PER_MS = 0.06;
+  private static final long DURATION_MS = 24_000;
+  private static final long CRASH_MS = 10_400;
+  private static final long PEAK_INTERVAL_MS = 3_000;
+  private static final long PEAK_MS = 1_500;
+  private static final double PEAK_REQUESTS_PER_MS = 0.205;
+  private static final double OFF_PEAK_REQUESTS_PER_MS = 0.06;
   private static final long MIN_RUN_MS = 300;
   private static final long MAX_RUN_MS = 1_100;
   private static final long NETWORK_MS = 1;
@@ -37,17 +37,17 @@
   /**
    * What varies.
    *
-   * @param lossShare the share of datagrams that are lost
-   * @param oneDies whether a gateway ends in a crest without a word
+   * @param lossRate the share of datagrams that are lost
+   * @param oneCrashes whether a gateway ends in a crest without a word
    */
-  record Conditions(int gateways, boolean shared, double lossShare, boolean oneDies, long seed) {}
+  record Conditions(int gateways, boolean shared, double lossRate, boolean oneCrashes, long seed) {}
 
   /**
    * What happened: the requests of crests, those of them that found all places taken, and how many
    * datagrams a gateway received in a second.
    */
   record Outcome(int requests, int foundFull, double receivedPerS) {
-    double share() {
+    double foundFullShare() {
       return (double) foundFull / requests;
     }
   }
@@ -88,15 +88,15 @@
   private final class Gateway {
     final long id;
     final EngineTable table = new EngineTable(REPORT_HALF_LIFE_MS);
-    final EngineChoice choice;
+    final EngineLoadBalancer choice;
     final PeerLoads peers = new PeerLoads();
-    final SendPace pace = new SendPace();
+    final SendSchedule schedule = new SendSchedule();
     long sequence;
-    boolean dead;
+    boolean crashed;
 
     Gateway(int number) {
       id = number;
-      choice = new EngineChoice("z", random.nextLong());
+      choice = new EngineLoadBalancer("z", random.nextLong());
       Map<String, EngineInstance> listed = new HashMap<>();
       engines.values().forEach(engine -> listed.put(engine.instance.id(), engine.instance));
       table.update(listed);
@@ -107,12 +107,12 @@
       EngineState chosen = choice.choose(usable, Prompt.UNKNOWN, nowMs).orElseThrow().engine();
       chosen.onStart(nowMs);
       if (conditions.shared()) {
-        Map<Long, Integer> calls = OwnCalls.of(table);
-        tell(pace.onStart(calls, peers.active(nowMs).size(), nowMs), calls);
+        Map<Long, Integer> calls = InFlightCalls.of(table);
+        broadcast(schedule.onCallStart(calls, peers.activePeers(nowMs).size(), nowMs), calls);
       }
       long sentMs = nowMs;
       Engine engine = engines.get(chosen.instance().id());
-      in(NETWORK_MS, () -> arrive(engine, chosen, sentMs, counts));
+      schedule(NETWORK_MS, () -> arrive(engine, chosen, sentMs, counts));
     }
 
     private void arrive(Engine engine, EngineState chosen, long sentMs, boolean counts) {
@@ -123,46 +123,46 @@
 
     private void begin(Engine engine, EngineState chosen, long sentMs) {
       EngineLoadReport report = engine.report();
-      in(
+      schedule(
           NETWORK_MS,
           () -> {
             chosen.onFirstBytes(nowMs - sentMs, nowMs);
-            chosen.onLoad(report, nowMs);
+            chosen.onLoadReport(report, nowMs);
           });
       long runMs = random.nextLong(MIN_RUN_MS, MAX_RUN_MS);
-      in(runMs, engine::leave);
-      in(runMs + NETWORK_MS, chosen::onEnd);
+      schedule(runMs, engine::leave);
+      schedule(runMs + NETWORK_MS, chosen::onEnd);
     }
 
     void tick() {
-      if (dead) {
+      if (crashed) {
         return;
       }
       peers.expire(nowMs);
-      OwnCalls.notePeers(table, peers);
-      int active = peers.active(nowMs).size();
-      Map<Long, Integer> calls = OwnCalls.of(table);
-      tell(pace.onInterval(calls, active, nowMs), calls);
-      in(SendPace.intervalMs(active), this::tick);
+      InFlightCalls.applyPeerCalls(table, peers);
+      int active = peers.activePeers(nowMs).size();
+      Map<Long, Integer> calls = InFlightCalls.of(table);
+      broadcast(schedule.onInterval(calls, active, nowMs), calls);
+      schedule(SendSchedule.intervalMs(active), this::tick);
     }
 
-    private void tell(SendPace.Receivers whom, Map<Long, Integer> calls) {
-      if (whom == SendPace.Receivers.NONE) {
+    private void broadcast(SendSchedule.Recipients whom, Map<Long, Integer> calls) {
+      if (whom == SendSchedule.Recipients.NONE) {
         return;
       }
-      int holdMs = SendPace.holdMs(peers.active(nowMs).size());
+      int holdMs = SendSchedule.ttlMs(peers.activePeers(nowMs).size());
       byte[] bytes = new LoadDatagram(id, 1, ++sequence, holdMs, calls).encode();
       for (Gateway peer : gateways) {
-        if (peer != this && random.nextDouble() >= conditions.lossShare()) {
+        if (peer != this && random.nextDouble() >= conditions.lossRate()) {
           datagrams++;
-          in(NETWORK_MS, () -> peer.hear(bytes));
+          schedule(NETWORK_MS, () -> peer.receive(bytes));
         }
       }
     }
 
-    private void hear(byte[] bytes) {
+    private void receive(byte[] bytes) {
       LoadDatagram.decode(ByteBuffer.wrap(bytes)).ifPresent(told -> peers.accept(told, nowMs));
-      OwnCalls.notePeers(table, peers);
+      InFlightCalls.applyPeerCalls(table, peers);
     }
   }
 
@@ -189,41 +189,41 @@
       gateways.add(new Gateway(i));
       ids.add((long) i);
     }
-    gateways.forEach(gateway -> gateway.peers.setKnown(ids));
+    gateways.forEach(gateway -> gateway.peers.setKnownPeers(ids));
   }
 
   /** Plays all crests. */
-  static Outcome play(Conditions conditions) {
-    return new LoadSimulation(conditions).play();
+  static Outcome run(Conditions conditions) {
+    return new LoadSimulation(conditions).run();
   }
 
-  private void in(long delayMs, Runnable action) {
+  private void schedule(long delayMs, Runnable action) {
     events.add(new Event(nowMs + delayMs, action));
   }
 
-  private Outcome play() {
+  private Outcome run() {
     if (conditions.shared()) {
-      gateways.forEach(gateway -> in(random.nextLong(50), gateway::tick));
+      gateways.forEach(gateway -> schedule(random.nextLong(50), gateway::tick));
     }
-    for (nowMs = 0; nowMs < LENGTH_MS; nowMs++) {
+    for (nowMs = 0; nowMs < DURATION_MS; nowMs++) {
       while (!events.isEmpty() && events.peek().atMs() <= nowMs) {
         events.remove().action().run();
       }
-      if (conditions.oneDies() && nowMs == DEATH_MS) {
-        gateways.get(0).dead = true;
+      if (conditions.oneCrashes() && nowMs == CRASH_MS) {
+        gateways.get(0).crashed = true;
       }
-      boolean crest = nowMs % CREST_PERIOD_MS < CREST_MS;
-      if (random.nextDouble() < (crest ? CREST_PER_MS : TROUGH_PER_MS)) {
-        anyGateway().request(crest);
+      boolean crest = nowMs % PEAK_INTERVAL_MS < PEAK_MS;
+      if (random.nextDouble() < (crest ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS)) {
+        randomGateway().request(crest);
       }
     }
-    double seconds = LENGTH_MS / 1_000.0;
+    double seconds = DURATION_MS / 1_000.0;
     double receivedPerS = datagrams / seconds / gateways.size();
     return new Outcome(requests, foundFull, receivedPerS);
   }
 
-  private Gateway anyGateway() {
-    List<Gateway> alive = gateways.stream().filter(gateway -> !gateway.dead).toList();
+  private Gateway randomGateway() {
+    List<Gateway> alive = gateways.stream().filter(gateway -> !gateway.crashed).toList();
     return alive.get(random.nextInt(alive.size()));
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadDatagram.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadDatagram.java
@@ -17,11 +17,11 @@
   private static final LoadDatagram SAMPLE = new LoadDatagram(1, 2, 3, 250, Map.of(7L, 4, 8L, 1));
 
   @Property(tries = 200)
-  void whatIsReadIsWhatWasWritten(
+  void encodedDatagramsDecodeUnchanged(
       @ForAll long sender,
       @ForAll long life,
       @ForAll long sequence,
-      @ForAll @IntRange(max = LoadDatagram.MAX_HOLD_MS) int holdMs,
+      @ForAll @IntRange(max = LoadDatagram.MAX_TTL_MS) int holdMs,
       @ForAll @Size(max = LoadDatagram.MAX_ENGINES)
           Map<Long, @IntRange(min = 1, max = LoadDatagram.MAX_CALLS) Integer> calls) {
     LoadDatagram datagram = new LoadDatagram(sender, life, sequence, holdMs, calls);
@@ -31,19 +31,20 @@
   }
 
   @Property(tries = 500)
-  void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
+  void decodingArbitraryBytesNeverThrows(@ForAll byte[] bytes) {
     assertThatCode(() -> LoadDatagram.decode(ByteBuffer.wrap(bytes))).doesNotThrowAnyException();
   }
 
   @Property(tries = 500)
-  void changedBytesAreReadOrRefused(@ForAll @IntRange(max = 49) int index, @ForAll byte value) {
+  void decodingCorruptedBytesNeverThrows(
+      @ForAll @IntRange(max = 49) int index, @ForAll byte value) {
     byte[] bytes = SAMPLE.encode();
     bytes[index] = value;
     assertThatCode(() -> LoadDatagram.decode(ByteBuffer.wrap(bytes))).doesNotThrowAnyException();
   }
 
   @Test
-  void shorterAndLongerOnesAreRefused() {
+  void wrongLengthsAreRejected() {
     byte[] bytes = SAMPLE.encode();
     for (int length = 0; length < bytes.length; length++) {
       assertThat(LoadDatagram.decode(ByteBuffer.wrap(bytes, 0, length))).isEmpty();
@@ -53,14 +54,14 @@
   }
 
   @Test
-  void anotherVersionIsRefused() {
+  void otherVersionsAreRejected() {
     byte[] bytes = SAMPLE.encode();
     bytes[2]++;
     assertThat(LoadDatagram.decode(ByteBuffer.wrap(bytes))).isEmpty();
   }
 
   @Test
-  void theLargestFitsAPacket() {
+  void largestDatagramFitsPacket() {
     Map<Long, Integer> calls = new HashMap<>();
     for (long engine = 0; engine < LoadDatagram.MAX_ENGINES; engine++) {
       calls.put(engine, 1);
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadExchange.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadExchange.java
@@ -30,7 +30,7 @@
 
 /** Real exchanges on loopback, all on one event loop. */
 class TestLoadExchange {
-  private static final long PATIENCE_S = 10;
+  private static final long TIMEOUT_S = 10;
 
   private final EventLoopGroup group = EventLoops.create(1);
   private final EventLoop eventLoop = group.next();
@@ -63,7 +63,7 @@
     }
 
     double load() {
-      return on(() -> engine().estimatedLoad(0));
+      return callOnEventLoop(() -> engine().estimatedLoad(0));
     }
   }
 
@@ -75,16 +75,16 @@
     }
   }
 
-  private <T> T on(Callable<T> step) {
+  private <T> T callOnEventLoop(Callable<T> step) {
     return eventLoop.submit(step).syncUninterruptibly().getNow();
   }
 
-  private void run(Runnable step) {
+  private void runOnEventLoop(Runnable step) {
     eventLoop.submit(step).syncUninterruptibly();
   }
 
   private static void await(BooleanSupplier condition) {
-    long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (!condition.getAsBoolean() && System.nanoTime() < endNs) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
@@ -92,11 +92,11 @@
   }
 
   private void openAll() {
-    nodes.forEach(node -> run(node.exchange::openIfNeeded));
+    nodes.forEach(node -> runOnEventLoop(node.exchange::openIfNeeded));
     nodes.forEach(node -> await(() -> !node.exchange.address().isEmpty()));
     Map<String, FleetProcess> processes = new HashMap<>();
     nodes.forEach(node -> processes.put(node.name, node.describe(true)));
-    FleetView none = FleetView.UNKNOWN;
+    FleetView none = FleetView.EMPTY;
     FleetView view =
         new FleetView(
             none.routes(),
@@ -107,7 +107,7 @@
             none.assignedGroup(),
             none.leavingMembers(),
             none.quarantine());
-    nodes.forEach(node -> run(() -> node.exchange.onChange(view)));
+    nodes.forEach(node -> runOnEventLoop(() -> node.exchange.onChange(view)));
   }
 
   @AfterEach
@@ -117,24 +117,24 @@
   }
 
   @Test
-  void gatewaysKnowEachOthersCallsAndForgetThoseOfOneThatStops() {
+  void countsOfPeersAreAddedAndExpire() {
     Node a = new Node("a", true);
     Node b = new Node("b", true);
     Node c = new Node("c", true);
     openAll();
-    run(() -> a.engine().onStart(0));
-    run(() -> b.engine().onStart(0));
-    run(() -> b.engine().onStart(0));
+    runOnEventLoop(() -> a.engine().onStart(0));
+    runOnEventLoop(() -> b.engine().onStart(0));
+    runOnEventLoop(() -> b.engine().onStart(0));
     await(() -> a.load() == 3 && b.load() == 3 && c.load() == 3);
     b.exchange.close();
     await(() -> a.load() == 1 && c.load() == 1);
     assertThat(b.load()).isGreaterThanOrEqualTo(2);
-    run(() -> a.engine().onEnd());
+    runOnEventLoop(() -> a.engine().onEnd());
     await(() -> c.load() == 0);
   }
 
   @Test
-  void strangeBytesAreCountedAndDropped() throws IOException {
+  void malformedDatagramsAreDroppedAndCounted() throws IOException {
     Node a = new Node("a", true);
     openAll();
     try (DatagramSocket socket = new DatagramSocket()) {
@@ -146,24 +146,24 @@
   }
 
   @Test
-  void nothingIsOpenedUntilAnEngineTellsItsPace() {
+  void socketOpensWhenEngineReportsPace() {
     Node a = new Node("a", false);
-    run(a.exchange::openIfNeeded);
-    run(() -> a.engine().onLoad(new EngineLoadReport(1, 0, 8), 0));
-    run(a.exchange::openIfNeeded);
-    run(() -> {});
+    runOnEventLoop(a.exchange::openIfNeeded);
+    runOnEventLoop(() -> a.engine().onLoadReport(new EngineLoadReport(1, 0, 8), 0));
+    runOnEventLoop(a.exchange::openIfNeeded);
+    runOnEventLoop(() -> {});
     assertThat(a.exchange.address()).isEmpty();
-    run(() -> a.engine().onLoad(new EngineLoadReport(1, 0, 8, 5, 100), 0));
-    run(a.exchange::openIfNeeded);
+    runOnEventLoop(() -> a.engine().onLoadReport(new EngineLoadReport(1, 0, 8, 5, 100), 0));
+    runOnEventLoop(a.exchange::openIfNeeded);
     await(() -> a.exchange.address().equals(a.listen.toString()));
   }
 
   @Test
-  void aTakenPortLeavesTheGatewayWithoutAnExchange() throws IOException {
+  void portInUseDisablesExchange() throws IOException {
     Node a = new Node("a", true);
     try (DatagramSocket other = new DatagramSocket(a.listen.toSocketAddress())) {
-      run(a.exchange::openIfNeeded);
-      run(() -> {});
+      runOnEventLoop(a.exchange::openIfNeeded);
+      runOnEventLoop(() -> {});
       assertThat(other.isBound()).isTrue();
       assertThat(a.exchange.address()).isEmpty();
     }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestPeerLoads.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestPeerLoads.java
@@ -10,74 +10,74 @@
   private static final long A = 1;
   private static final long B = 2;
   private static final long ENGINE = 70;
-  private static final int HOLD_MS = 250;
+  private static final int TTL_MS = 250;
 
   private final PeerLoads peers = new PeerLoads();
 
   TestPeerLoads() {
-    peers.setKnown(Set.of(A, B));
+    peers.setKnownPeers(Set.of(A, B));
   }
 
-  private boolean tell(long sender, long life, long sequence, int calls, long nowMs) {
+  private boolean receive(long sender, long life, long sequence, int calls, long nowMs) {
     Map<Long, Integer> told = calls == 0 ? Map.of() : Map.of(ENGINE, calls);
-    return peers.accept(new LoadDatagram(sender, life, sequence, HOLD_MS, told), nowMs);
+    return peers.accept(new LoadDatagram(sender, life, sequence, TTL_MS, told), nowMs);
   }
 
   @Test
-  void callsOfPeersAddUpAndTheNewestCountsOfEachHold() {
-    tell(A, 1, 1, 3, 0);
-    tell(B, 1, 1, 2, 0);
+  void newestCountsOfPeersAreSummed() {
+    receive(A, 1, 1, 3, 0);
+    receive(B, 1, 1, 2, 0);
     assertThat(peers.callsAt(ENGINE)).isEqualTo(5);
-    tell(A, 1, 2, 0, 10);
+    receive(A, 1, 2, 0, 10);
     assertThat(peers.callsAt(ENGINE)).isEqualTo(2);
   }
 
   @Test
-  void datagramsThatWereOvertakenOrComeTwiceChangeNothing() {
-    tell(A, 1, 5, 3, 0);
-    assertThat(tell(A, 1, 4, 9, 1)).isFalse();
-    assertThat(tell(A, 1, 5, 9, 2)).isFalse();
+  void staleAndDuplicateDatagramsAreIgnored() {
+    receive(A, 1, 5, 3, 0);
+    assertThat(receive(A, 1, 4, 9, 1)).isFalse();
+    assertThat(receive(A, 1, 5, 9, 2)).isFalse();
     assertThat(peers.callsAt(ENGINE)).isEqualTo(3);
   }
 
   @Test
-  void anotherLifeOfThePeerBeginsAnew() {
-    tell(A, 1, 500, 3, 0);
-    assertThat(tell(A, 2, 1, 1, 10)).isTrue();
+  void newIncarnationReplacesCounts() {
+    receive(A, 1, 500, 3, 0);
+    assertThat(receive(A, 2, 1, 1, 10)).isTrue();
     assertThat(peers.callsAt(ENGINE)).isEqualTo(1);
   }
 
   @Test
-  void aSilentPeerCountsNoLongerThanItsDatagramHolds() {
-    tell(A, 1, 1, 3, 0);
-    tell(B, 1, 1, 2, 100);
-    peers.expire(HOLD_MS - 1);
+  void countsExpireAfterTtl() {
+    receive(A, 1, 1, 3, 0);
+    receive(B, 1, 1, 2, 100);
+    peers.expire(TTL_MS - 1);
     assertThat(peers.callsAt(ENGINE)).isEqualTo(5);
-    peers.expire(HOLD_MS);
-    peers.expire(HOLD_MS);
+    peers.expire(TTL_MS);
+    peers.expire(TTL_MS);
     assertThat(peers.callsAt(ENGINE)).isEqualTo(2);
   }
 
   @Test
-  void aPeerThatWasSuspendedCountsAgainWithItsNextDatagram() {
-    tell(A, 1, 1, 3, 0);
+  void resumedPeerCountsAgain() {
+    receive(A, 1, 1, 3, 0);
     peers.expire(1_000);
-    tell(A, 1, 2, 1, 1_000);
+    receive(A, 1, 2, 1, 1_000);
     assertThat(peers.callsAt(ENGINE)).isEqualTo(1);
   }
 
   @Test
-  void onlyKnownProcessesCount() {
-    tell(A, 1, 1, 3, 0);
-    assertThat(tell(99, 1, 1, 3, 0)).isFalse();
-    peers.setKnown(Set.of(B));
+  void unknownPeersAreIgnored() {
+    receive(A, 1, 1, 3, 0);
+    assertThat(receive(99, 1, 1, 3, 0)).isFalse();
+    peers.setKnownPeers(Set.of(B));
     assertThat(peers.callsAt(ENGINE)).isZero();
   }
 
   @Test
-  void aPeerIsActiveForSomeSeconds() {
-    tell(A, 1, 1, 0, 0);
-    assertThat(peers.active(PeerLoads.ACTIVE_MS - 1)).containsExactly(A);
-    assertThat(peers.active(PeerLoads.ACTIVE_MS)).isEmpty();
+  void silentPeerBecomesInactive() {
+    receive(A, 1, 1, 0, 0);
+    assertThat(peers.activePeers(PeerLoads.ACTIVE_MS - 1)).containsExactly(A);
+    assertThat(peers.activePeers(PeerLoads.ACTIVE_MS)).isEmpty();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestSharedLoad.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestSharedLoad.java
@@ -12,13 +12,13 @@
   private static final int SEEDS = 5;
 
   /** The sum over some seeds. */
-  private static Outcome play(int gateways, boolean shared, double lossShare, boolean oneDies) {
+  private static Outcome run(int gateways, boolean shared, double lossShare, boolean oneDies) {
     int requests = 0;
     int foundFull = 0;
     double receivedPerS = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       Outcome outcome =
-          LoadSimulation.play(new Conditions(gateways, shared, lossShare, oneDies, seed));
+          LoadSimulation.run(new Conditions(gateways, shared, lossShare, oneDies, seed));
       requests += outcome.requests();
       foundFull += outcome.foundFull();
       receivedPerS = Math.max(receivedPerS, outcome.receivedPerS());
@@ -28,10 +28,10 @@
 
   @ParameterizedTest
   @CsvSource({"4, 0, false", "4, 0.05, true", "12, 0, false", "12, 0.05, true", "40, 0.05, true"})
-  void sharedCountsFindRoomInCrests(int gateways, double lossShare, boolean oneDies) {
-    Outcome alone = play(gateways, false, 0, oneDies);
-    Outcome shared = play(gateways, true, lossShare, oneDies);
-    assertThat(shared.share()).isLessThan(alone.share() / 2);
+  void sharingHalvesRequestsToFullEngines(int gateways, double lossShare, boolean oneDies) {
+    Outcome alone = run(gateways, false, 0, oneDies);
+    Outcome shared = run(gateways, true, lossShare, oneDies);
+    assertThat(shared.foundFullShare()).isLessThan(alone.foundFullShare() / 2);
     assertThat(shared.receivedPerS()).isLessThanOrEqualTo(200);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestCandidateOrder.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestCandidateOrder.java
@@ -14,15 +14,15 @@
   void processesBeginAtDifferentCandidates() {
     Map<String, Integer> asked = new HashMap<>();
     for (int i = 0; i < 18; i++) {
-      asked.merge(CandidateOrder.of("gateway-" + i).current(CANDIDATES), 1, Integer::sum);
+      asked.merge(CandidateOrder.forProcess("gateway-" + i).current(CANDIDATES), 1, Integer::sum);
     }
     assertThat(asked).hasSize(CANDIDATES.size());
     assertThat(asked.values()).allMatch(processes -> processes >= 4);
   }
 
   @Test
-  void allCandidatesAreAskedInTurn() {
-    CandidateOrder order = CandidateOrder.of("gateway-1");
+  void advancesThroughAllCandidates() {
+    CandidateOrder order = CandidateOrder.forProcess("gateway-1");
     String first = order.current(CANDIDATES);
     order.advance();
     String second = order.current(CANDIDATES);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void nobodyIsAskedWithoutCandidates() {
+  void returnsEmptyWithoutCandidates() {
     assertThat(CandidateOrder.fromFirst().current(List.of())).isEmpty();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
@@ -15,26 +15,30 @@
   }
 
   @Test
-  void processThatLacksTheLeadersListsAsksAgainSoon() {
+  void reportsFastUntilLeaderListsAreKnown() {
     interval.onAnswered(after(10));
-    assertThat(interval.intervalMs(false, after(20))).isEqualTo(ReportInterval.WAITING_MS);
-    assertThat(interval.intervalMs(true, after(20))).isEqualTo(ReportInterval.USUAL_MS);
+    assertThat(interval.intervalMs(false, after(20))).isEqualTo(ReportInterval.FAST_INTERVAL_MS);
+    assertThat(interval.intervalMs(true, after(20))).isEqualTo(ReportInterval.NORMAL_INTERVAL_MS);
   }
 
   @Test
-  void coordinatorsThatStartLateAreAskedSoonFromTheirFirstAnswerOn() {
-    long lateMs = 3 * ReportInterval.WAITING_FOR_MS;
-    assertThat(interval.intervalMs(false, after(lateMs))).isEqualTo(ReportInterval.USUAL_MS);
+  void fastPeriodRestartsAtFirstAnswer() {
+    long lateMs = 3 * ReportInterval.FAST_PERIOD_MS;
+    assertThat(interval.intervalMs(false, after(lateMs)))
+        .isEqualTo(ReportInterval.NORMAL_INTERVAL_MS);
     interval.onAnswered(after(lateMs));
-    assertThat(interval.intervalMs(false, after(lateMs))).isEqualTo(ReportInterval.WAITING_MS);
+    assertThat(interval.intervalMs(false, after(lateMs)))
+        .isEqualTo(ReportInterval.FAST_INTERVAL_MS);
   }
 
   @Test
-  void listThatIsMissingForLongLoadsTheLeaderAsUsual() {
+  void returnsToNormalIntervalAfterFastPeriod() {
     interval.onAnswered(after(10));
     interval.onAnswered(after(2_000));
-    long endMs = 10 + ReportInterval.WAITING_FOR_MS;
-    assertThat(interval.intervalMs(false, after(endMs - 1))).isEqualTo(ReportInterval.WAITING_MS);
-    assertThat(interval.intervalMs(false, after(endMs))).isEqualTo(ReportInterval.USUAL_MS);
+    long endMs = 10 + ReportInterval.FAST_PERIOD_MS;
+    assertThat(interval.intervalMs(false, after(endMs - 1)))
+        .isEqualTo(ReportInterval.FAST_INTERVAL_MS);
+    assertThat(interval.intervalMs(false, after(endMs)))
+        .isEqualTo(ReportInterval.NORMAL_INTERVAL_MS);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestViewFreshness.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestViewFreshness.java
@@ -9,7 +9,8 @@
   private static final long START_NS = -5;
 
   /** A process that has run for longer than its start may take. */
-  private final ViewFreshness freshness = new ViewFreshness(after(-ViewFreshness.STARTING_MS));
+  private final ViewFreshness freshness =
+      new ViewFreshness(after(-ViewFreshness.STARTUP_PERIOD_MS));
 
   /** A process that starts. */
   private final ViewFreshness starting = new ViewFreshness(START_NS);
@@ -19,84 +20,84 @@
   }
 
   @Test
-  void nothingMayBeActedOnBeforeAnythingWasTold() {
+  void unusableBeforeAnyAnswer() {
     assertThat(freshness.isUsable(START_NS)).isFalse();
     assertThat(freshness.isConfirmed(START_NS)).isFalse();
   }
 
   @Test
-  void whatWasKnownLastIsActedOnForAMomentAndNeverCountsAsConfirmed() {
-    freshness.onLastKnownTold(START_NS);
+  void lastKnownIsBrieflyUsableButUnconfirmed() {
+    freshness.onLastKnownReceived(START_NS);
     assertThat(freshness.isUsable(after(ViewFreshness.LAST_KNOWN_VALID_MS - 1))).isTrue();
     assertThat(freshness.isUsable(after(ViewFreshness.LAST_KNOWN_VALID_MS))).isFalse();
     assertThat(freshness.isConfirmed(START_NS)).isFalse();
   }
 
   @Test
-  void whatALeaderToldIsActedOnForGoodAndCountsAsConfirmedForAWhile() {
-    freshness.onLastKnownTold(START_NS);
+  void leaderAnswerStaysUsableAfterConfirmationExpires() {
+    freshness.onLastKnownReceived(START_NS);
     freshness.onLeaderAnswered(after(10));
-    long laterMs = 10 + ViewFreshness.CONFIRMED_MS;
+    long laterMs = 10 + ViewFreshness.CONFIRMATION_VALID_MS;
     assertThat(freshness.isConfirmed(after(laterMs - 1))).isTrue();
     assertThat(freshness.isConfirmed(after(laterMs))).isFalse();
     assertThat(freshness.isUsable(after(100 * laterMs))).isTrue();
   }
 
   @Test
-  void ageOfWhatALeaderToldCountsFromTheReportThatItAnswered() {
+  void confirmationAgeCountsFromSendTime() {
     assertThat(freshness.isConfirmedWithin(2_500, START_NS)).isFalse();
     freshness.onLeaderAnswered(after(10));
     assertThat(freshness.isConfirmedWithin(2_500, after(2_509))).isTrue();
     assertThat(freshness.isConfirmedWithin(2_500, after(2_510))).isFalse();
-    freshness.onLastKnownTold(after(2_600));
+    freshness.onLastKnownReceived(after(2_600));
     assertThat(freshness.isConfirmedWithin(2_500, after(2_610))).isFalse();
   }
 
   @Test
-  void repetitionDoesNotProlongWhatAProcessThatHasRunForLongActsOn() {
-    freshness.onLastKnownTold(START_NS);
+  void repetitionDoesNotExtendValidityAfterStartup() {
+    freshness.onLastKnownReceived(START_NS);
     long lastMs = ViewFreshness.LAST_KNOWN_VALID_MS - 1;
-    freshness.onLastKnownTold(after(lastMs));
+    freshness.onLastKnownReceived(after(lastMs));
     assertThat(freshness.isUsable(after(lastMs))).isTrue();
     assertThat(freshness.isUsable(after(lastMs + 1))).isFalse();
   }
 
-  private void repeatFrom(long firstMs, long endMs) {
-    for (long ms = firstMs; ms < endMs; ms += ViewFreshness.LAST_KNOWN_REPEATED_MS - 1) {
-      starting.onLastKnownTold(after(ms));
-      long untilMs = Math.min(ms + ViewFreshness.LAST_KNOWN_REPEATED_MS, endMs);
+  private void assertUsableWhileRepeated(long firstMs, long endMs) {
+    for (long ms = firstMs; ms < endMs; ms += ViewFreshness.LAST_KNOWN_REPEAT_TIMEOUT_MS - 1) {
+      starting.onLastKnownReceived(after(ms));
+      long untilMs = Math.min(ms + ViewFreshness.LAST_KNOWN_REPEAT_TIMEOUT_MS, endMs);
       assertThat(starting.isUsable(after(untilMs - 1))).isTrue();
     }
-    starting.onLastKnownTold(after(endMs - 1));
+    starting.onLastKnownReceived(after(endMs - 1));
     assertThat(starting.isUsable(after(endMs))).isFalse();
     assertThat(starting.isConfirmed(after(endMs - 1))).isFalse();
   }
 
   @Test
-  void processThatStartsCarriesOnOverAnElectionWhileItIsRepeated() {
-    repeatFrom(500, 500 + ViewFreshness.LAST_KNOWN_LONGEST_MS);
+  void repetitionExtendsValidityDuringStartup() {
+    assertUsableWhileRepeated(500, 500 + ViewFreshness.LAST_KNOWN_MAX_MS);
   }
 
   @Test
-  void repetitionEndsWhenTheProcessNoLongerStarts() {
-    long endMs = ViewFreshness.STARTING_MS;
-    repeatFrom(endMs - ViewFreshness.LAST_KNOWN_LONGEST_MS + 100, endMs);
+  void repeatedLastKnownExpiresAfterStartup() {
+    long endMs = ViewFreshness.STARTUP_PERIOD_MS;
+    assertUsableWhileRepeated(endMs - ViewFreshness.LAST_KNOWN_MAX_MS + 100, endMs);
   }
 
   @Test
-  void processThatStartsStopsWhenNobodyRepeatsIt() {
-    starting.onLastKnownTold(START_NS);
-    long endMs = ViewFreshness.LAST_KNOWN_REPEATED_MS;
+  void lastKnownExpiresWithoutRepetition() {
+    starting.onLastKnownReceived(START_NS);
+    long endMs = ViewFreshness.LAST_KNOWN_REPEAT_TIMEOUT_MS;
     assertThat(starting.isUsable(after(endMs - 1))).isTrue();
     assertThat(starting.isUsable(after(endMs))).isFalse();
   }
 
   @Test
-  void startProgressesFromNoCoordinatorOverNoLeaderToTheLeadersLists() {
+  void startProgressReportsPhaseAndAge() {
     assertThat(starting.startProgress(START_NS, after(30)))
         .isEqualTo(new StartProgress(StartProgress.Phase.NO_COORDINATOR, 30));
-    starting.onLastKnownTold(after(40));
-    starting.onLastKnownTold(after(60));
+    starting.onLastKnownReceived(after(40));
+    starting.onLastKnownReceived(after(60));
     assertThat(starting.startProgress(START_NS, after(70)))
         .isEqualTo(new StartProgress(StartProgress.Phase.NO_LEADER, 30));
     starting.onLeaderAnswered(after(100));
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestAgeingEvidence.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
@@ -14,24 +14,25 @@
  * older than the window; those left were enough to judge it and too few to make it a cause, so the
  * coordinator released it with the next notice, though no other request explained the ends.
  */
-class TestAgeingEvidence {
+class TestEvidenceExpiry {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
   private static final long LATER_MS = 40_000;
-  private static final long FIRST_ENDS_ARE_OLD_MS = 61_000;
+  private static final long FIRST_CRASHES_EXPIRED_MS = 61_000;
 
-  private final EngineEndLedger ledger = new EngineEndLedger();
+  private final CrashCauseDetector detector = new CrashCauseDetector();
 
-  private void endedWhileAnswering(long atMs, List<String> engines) {
-    engines.forEach(engine -> ledger.note(new EngineEnd(engine, BAD, true), atMs));
+  private void crashedWhileResponding(long atMs, List<String> engines) {
+    engines.forEach(engine -> detector.add(new EngineEnd(engine, BAD, true), atMs));
   }
 
   @Test
-  void causeThatIsHeldIsNotJudgedInnocentWhenItsFirstEndsAreOld() {
-    endedWhileAnswering(0, List.of("a", "b", "c"));
-    endedWhileAnswering(LATER_MS, List.of("d", "e", "f"));
-    assertThat(ledger.causes(held -> false)).containsExactly(BAD);
-    ledger.expire(FIRST_ENDS_ARE_OLD_MS);
-    boolean released = ledger.canJudge(BAD) && !ledger.causes(BAD::equals).contains(BAD);
+  void expiredEvidenceDoesNotReleaseRequest() {
+    crashedWhileResponding(0, List.of("a", "b", "c"));
+    crashedWhileResponding(LATER_MS, List.of("d", "e", "f"));
+    assertThat(detector.causes(held -> false)).containsExactly(BAD);
+    detector.expire(FIRST_CRASHES_EXPIRED_MS);
+    boolean released =
+        detector.hasSufficientEvidence(BAD) && !detector.causes(BAD::equals).contains(BAD);
     assertThat(released).as("nothing else explains the ends").isFalse();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestInnocentRequests.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestQuarantineFalsePositives.java
@@ -18,42 +18,42 @@
  * <p>Each request is on one engine at a time; when its engine ends it goes on at another, four
  * times at most (two tries of two engines). Half of them are being answered when their engine ends.
  */
-class TestInnocentRequests {
+class TestQuarantineFalsePositives {
   private static final int RUNS = 200;
   private static final int ENGINES = 18;
-  private static final int REQUESTS_ON_AN_ENGINE = 10;
-  private static final int MOST_SENDS = 4;
+  private static final int REQUESTS_PER_ENGINE = 10;
+  private static final int MAX_SENDS = 4;
   private static final RequestFingerprint BAD = new RequestFingerprint(0, "bad");
 
   /** An innocent request and how often it was sent. */
-  private static final class Innocent {
-    final RequestFingerprint name;
+  private static final class InnocentRequest {
+    final RequestFingerprint fingerprint;
     int sends = 1;
 
-    Innocent(int number) {
-      this.name = new RequestFingerprint(number, "innocent-" + number);
+    InnocentRequest(int number) {
+      this.fingerprint = new RequestFingerprint(number, "innocent-" + number);
     }
   }
 
   /** What became of one run of the model. */
-  private record Outcome(int ends, int innocents, int heldInnocents, boolean badFound) {}
+  private record Outcome(int ends, int innocents, int falsePositives, boolean badFound) {}
 
-  private final EngineEndLedger ledger = new EngineEndLedger();
-  private final List<List<Innocent>> engines = new ArrayList<>();
-  private final Set<RequestFingerprint> held = new HashSet<>();
-  private final Set<RequestFingerprint> everHeld = new HashSet<>();
+  private final CrashCauseDetector detector = new CrashCauseDetector();
+  private final List<List<InnocentRequest>> engines = new ArrayList<>();
+  private final Set<RequestFingerprint> quarantined = new HashSet<>();
+  private final Set<RequestFingerprint> everQuarantined = new HashSet<>();
   private SplittableRandom random;
   private int innocents;
-  private int ends;
+  private int crashes;
 
   private void start(long seed) {
     random = new SplittableRandom(seed);
-    ledger.clear();
+    detector.clear();
     engines.clear();
-    held.clear();
-    everHeld.clear();
+    quarantined.clear();
+    everQuarantined.clear();
     innocents = 0;
-    ends = 0;
+    crashes = 0;
     for (int engine = 0; engine < ENGINES; engine++) {
       engines.add(new ArrayList<>());
       fill(engine);
@@ -61,39 +61,40 @@
   }
 
   private void fill(int engine) {
-    while (engines.get(engine).size() < REQUESTS_ON_AN_ENGINE) {
-      engines.get(engine).add(new Innocent(++innocents));
+    while (engines.get(engine).size() < REQUESTS_PER_ENGINE) {
+      engines.get(engine).add(new InnocentRequest(++innocents));
     }
   }
 
   /** Ends an engine; its requests go on elsewhere. */
-  private void end(int engine, boolean underBad) {
-    String life = engine + "@" + ++ends;
+  private void crash(int engine, boolean underBad) {
+    String life = engine + "@" + ++crashes;
     if (underBad) {
-      ledger.note(new EngineEnd(life, BAD, false), ends);
+      detector.add(new EngineEnd(life, BAD, false), crashes);
     }
-    List<Innocent> cut = engines.set(engine, new ArrayList<>());
-    for (Innocent request : cut) {
-      ledger.note(new EngineEnd(life, request.name, random.nextBoolean()), ends);
-      if (++request.sends <= MOST_SENDS) {
+    List<InnocentRequest> cut = engines.set(engine, new ArrayList<>());
+    for (InnocentRequest request : cut) {
+      detector.add(new EngineEnd(life, request.fingerprint, random.nextBoolean()), crashes);
+      if (++request.sends <= MAX_SENDS) {
         engines.get(random.nextInt(ENGINES)).add(request);
       }
     }
     fill(engine);
-    List<RequestFingerprint> causes = ledger.causes(held::contains);
-    held.removeIf(request -> ledger.canJudge(request) && !causes.contains(request));
-    held.addAll(causes);
-    everHeld.addAll(causes);
+    List<RequestFingerprint> causes = detector.causes(quarantined::contains);
+    quarantined.removeIf(
+        request -> detector.hasSufficientEvidence(request) && !causes.contains(request));
+    quarantined.addAll(causes);
+    everQuarantined.addAll(causes);
   }
 
   /** Some requests are served to their end between two ends of engines. */
   private void serveSome() {
-    for (List<Innocent> engine : engines) {
+    for (List<InnocentRequest> engine : engines) {
       engine.removeIf(
           request -> {
             boolean served = random.nextInt(3) == 0;
             if (served) {
-              ledger.clear(request.name);
+              detector.clear(request.fingerprint);
             }
             return served;
           });
@@ -106,22 +107,22 @@
   private Outcome run(long seed, int endsOfEngines, int badPercent) {
     start(seed);
     for (int count = 0; count < endsOfEngines; count++) {
-      boolean underBad = !held.contains(BAD) && random.nextInt(100) < badPercent;
-      end(random.nextInt(ENGINES), underBad);
+      boolean underBad = !quarantined.contains(BAD) && random.nextInt(100) < badPercent;
+      crash(random.nextInt(ENGINES), underBad);
       serveSome();
     }
-    boolean badFound = held.contains(BAD);
-    everHeld.remove(BAD);
-    return new Outcome(ends, innocents, everHeld.size(), badFound);
+    boolean badFound = quarantined.contains(BAD);
+    everQuarantined.remove(BAD);
+    return new Outcome(crashes, innocents, everQuarantined.size(), badFound);
   }
 
   @Test
-  void innocentsAreSeldomHeldWhenEnginesEndForOtherReasons() {
+  void fewFalsePositivesWithoutCause() {
     long heldInnocents = 0;
     long all = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Outcome outcome = run(seed, 60, 0);
-      heldInnocents += outcome.heldInnocents();
+      heldInnocents += outcome.falsePositives();
       all += outcome.innocents();
     }
     System.out.printf("60 ends for other reasons: %d of %d innocents held%n", heldInnocents, all);
@@ -129,13 +130,13 @@
   }
 
   @Test
-  void requestThatEndsEnginesIsFoundBesideEndsForOtherReasons() {
+  void findsCauseAmongOtherCrashes() {
     long heldInnocents = 0;
     long all = 0;
     int found = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Outcome outcome = run(seed, 30, 50);
-      heldInnocents += outcome.heldInnocents();
+      heldInnocents += outcome.falsePositives();
       all += outcome.innocents();
       found += outcome.badFound() ? 1 : 0;
     }
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestRequestContent.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestRequestFingerprints.java
@@ -11,9 +11,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class TestRequestContent {
+class TestRequestFingerprints {
   private static final EngineInstance ENGINE = new EngineInstance("e", "s", "h:1", "z", 1, false);
-  private static final EngineTenant NOBODY = new EngineTenant.AsSent();
+  private static final EngineTenant NOBODY = new EngineTenant.PassThrough();
 
   private static RequestFingerprint fingerprint(
       String id, String uri, EngineTenant tenant, String body) {
@@ -29,17 +29,17 @@
             body.getBytes(StandardCharsets.UTF_8),
             1,
             -1);
-    return RequestContent.fingerprint(call);
+    return RequestFingerprints.fingerprint(call);
   }
 
   @Test
-  void triesOfARequestHaveOneFingerprint() {
+  void retriesHaveSameFingerprint() {
     assertThat(fingerprint("first", "/a?q=1", NOBODY, "body"))
         .isEqualTo(fingerprint("second", "/a?q=1", NOBODY, "body"));
   }
 
   @Test
-  void pathQueryTenantAndBodyTellRequestsApart() {
+  void differsByPathQueryTenantAndBody() {
     RequestFingerprint one = fingerprint("id", "/a?q=1", NOBODY, "body");
     assertThat(fingerprint("id", "/b?q=1", NOBODY, "body")).isNotEqualTo(one);
     assertThat(fingerprint("id", "/a?q=2", NOBODY, "body")).isNotEqualTo(one);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void outlineDiffersWithTheLengthOfTheBody() {
+  void outlineDependsOnBodyLength() {
     assertThat(fingerprint("id", "/a", NOBODY, "1").outline())
         .isNotEqualTo(fingerprint("id", "/a", NOBODY, "12").outline());
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueueSwitch.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueueActivation.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class TestQueueSwitch {
-  private static boolean callersCompete(CallerTenant... tenants) {
+class TestQueueActivation {
+  private static boolean hasTenantPolicies(CallerTenant... tenants) {
     CallerLimits limits = new CallerLimits(0, 0, 0);
     byte[] none = new byte[0];
-    return QueueSwitch.callersCompete(
+    return QueueActivation.hasTenantPolicies(
         new RouteTable(1, List.of(), List.of(), limits, List.of(tenants), none, none));
   }
 
@@ -21,10 +21,10 @@
   }
 
   @Test
-  void callersCompeteUnderLimitsOrPriorities() {
-    assertThat(callersCompete()).isFalse();
-    assertThat(callersCompete(tenant(0, 0))).isFalse();
-    assertThat(callersCompete(tenant(0, 0), tenant(2, 0))).isTrue();
-    assertThat(callersCompete(tenant(0, 5))).isTrue();
+  void requiresLimitOrPriority() {
+    assertThat(hasTenantPolicies()).isFalse();
+    assertThat(hasTenantPolicies(tenant(0, 0))).isFalse();
+    assertThat(hasTenantPolicies(tenant(0, 0), tenant(2, 0))).isTrue();
+    assertThat(hasTenantPolicies(tenant(0, 5))).isTrue();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
@@ -11,17 +11,17 @@
 
 class TestQueuePolicy {
   private static final int SLOTS = 8;
-  private static final EngineRoom FULL = new EngineRoom(SLOTS, 0, SLOTS + 1, 50);
+  private static final EngineCapacity FULL = new EngineCapacity(SLOTS, 0, SLOTS + 1, 50);
   private static final long DUE_MS = 300;
-  private static final long FIRST_MS = 60;
-  private static final long PLACE_MS = 200;
+  private static final long FIRST_BYTE_MS = 60;
+  private static final long SLOT_TIME_MS = 200;
 
   private final ServiceTimes times = times();
 
   private static ServiceTimes times() {
     ServiceTimes times = new ServiceTimes();
-    times.onFirstBytes(FIRST_MS);
-    times.onPlaceFreed(PLACE_MS);
+    times.onFirstBytes(FIRST_BYTE_MS);
+    times.onSlotFreed(SLOT_TIME_MS);
     return times;
   }
 
@@ -29,17 +29,17 @@
     return new Request(DUE_MS, deadlineMs, Request.NOT_HELD, true);
   }
 
-  private QueueDecision decide(Request request, EngineRoom... engines) {
+  private QueueDecision decide(Request request, EngineCapacity... engines) {
     return QueuePolicy.decide(request, List.of(engines), times, 0);
   }
 
   @Test
-  void goesAtOnceWhileAnyEngineMayHaveRoom() {
+  void sendsUnlessAllEnginesKnownFull() {
     QueueDecision send = new QueueDecision.Send();
-    EngineRoom room = new EngineRoom(SLOTS, 0, SLOTS, 50);
-    EngineRoom oldWord = new EngineRoom(SLOTS, 0, SLOTS + 5, 5_000);
-    EngineRoom noWord = new EngineRoom(SLOTS, 0, SLOTS + 5, -1);
-    EngineRoom noSlots = new EngineRoom(0, 9, 9, 50);
+    EngineCapacity room = new EngineCapacity(SLOTS, 0, SLOTS, 50);
+    EngineCapacity oldWord = new EngineCapacity(SLOTS, 0, SLOTS + 5, 5_000);
+    EngineCapacity noWord = new EngineCapacity(SLOTS, 0, SLOTS + 5, -1);
+    EngineCapacity noSlots = new EngineCapacity(0, 9, 9, 50);
     assertThat(decide(fresh(5_000), FULL, room)).isEqualTo(send);
     assertThat(decide(fresh(5_000), FULL, oldWord)).isEqualTo(send);
     assertThat(decide(fresh(5_000), FULL, noWord)).isEqualTo(send);
@@ -48,8 +48,8 @@
   }
 
   @Test
-  void waitsForHalfOfItsSpareTimeAndGoesThen() {
-    long halfOfSpareMs = (DUE_MS - FIRST_MS) / 2;
+  void holdsForHalfOfSpareTime() {
+    long halfOfSpareMs = (DUE_MS - FIRST_BYTE_MS) / 2;
     assertThat(decide(fresh(5_000), FULL, FULL)).isEqualTo(new QueueDecision.Wait(halfOfSpareMs));
     Request held = new Request(DUE_MS, 5_000, halfOfSpareMs, true);
     assertThat(QueuePolicy.decide(held, List.of(FULL), times, halfOfSpareMs))
@@ -57,15 +57,15 @@
   }
 
   @Test
-  void engineFullOfOwnRequestsNeedsNoWordOfItsOwn() {
-    EngineRoom fullOfOwn = new EngineRoom(SLOTS, SLOTS + 1, SLOTS + 1, -1);
+  void gatewayLoadAloneShowsFullEngine() {
+    EngineCapacity fullOfOwn = new EngineCapacity(SLOTS, SLOTS + 1, SLOTS + 1, -1);
     assertThat(decide(fresh(5_000), fullOfOwn)).isInstanceOf(QueueDecision.Wait.class);
   }
 
   @Test
-  void rejectsOnlyWhatNoEngineTakesBeforeItsCallerLeaves() {
-    EngineRoom crowded = new EngineRoom(SLOTS, 0, SLOTS * 11 - 1, 50);
-    long waitMs = 10 * PLACE_MS;
+  void rejectsOnlyIfNoEngineMeetsDeadline() {
+    EngineCapacity crowded = new EngineCapacity(SLOTS, 0, SLOTS * 11 - 1, 50);
+    long waitMs = 10 * SLOT_TIME_MS;
     assertThat(decide(fresh(waitMs - 1), crowded)).isEqualTo(new QueueDecision.Reject(waitMs));
     assertThat(decide(fresh(waitMs), crowded)).isInstanceOf(QueueDecision.Wait.class);
     assertThat(decide(fresh(waitMs - 1), crowded, FULL)).isInstanceOf(QueueDecision.Wait.class);
@@ -75,12 +75,12 @@
 
   /** One engine, a tenant's flood before four requests of a small one; who begins in time? */
   @Test
-  void smallTenantIsInTimeInTheCrestOfAnother() {
-    assertThat(smallTenantInTime(false)).isEqualTo(0);
-    assertThat(smallTenantInTime(true)).isEqualTo(4);
+  void otherTenantsFloodDoesNotDelaySmallTenant() {
+    assertThat(smallTenantRequestsOnTime(false)).isEqualTo(0);
+    assertThat(smallTenantRequestsOnTime(true)).isEqualTo(4);
   }
 
-  private int smallTenantInTime(boolean ordered) {
+  private int smallTenantRequestsOnTime(boolean ordered) {
     RequestQueue<Integer> queue = new RequestQueue<>(256, Long.MAX_VALUE);
     Deque<Integer> engineQueue = new ArrayDeque<>();
     List<Long> placesFreeAtMs = new ArrayList<>();
@@ -96,8 +96,8 @@
       }
       while (placesFreeAtMs.size() < SLOTS && !engineQueue.isEmpty()) {
         int startedMs = engineQueue.poll();
-        placesFreeAtMs.add(nowMs + PLACE_MS);
-        boolean inTime = nowMs + FIRST_MS <= startedMs + DUE_MS;
+        placesFreeAtMs.add(nowMs + SLOT_TIME_MS);
+        boolean inTime = nowMs + FIRST_BYTE_MS <= startedMs + DUE_MS;
         smallInTime += startedMs >= 60 && inTime ? 1 : 0;
       }
     }
@@ -119,7 +119,7 @@
   }
 
   private boolean maySend(RequestQueue<Integer> queue, int load, long nowMs) {
-    boolean full = new EngineRoom(SLOTS, load, load, 0).isKnownFull();
-    return !queue.isEmpty() && (!full || queue.hasOverdue(nowMs));
+    boolean full = new EngineCapacity(SLOTS, load, load, 0).isKnownFull();
+    return !queue.isEmpty() && (!full || queue.hasExpiredHold(nowMs));
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestRequestQueue.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestRequestQueue.java
@@ -40,14 +40,14 @@
   }
 
   @Test
-  void tenantPriorityGoesBeforeThatOfTheRoute() {
+  void tenantPriorityPrecedesRoutePriority() {
     add("b", "t", rank(1, 0), 1);
     add("a", "u", rank(0, 5), 9);
     assertThat(drain(queue)).containsExactly("a", "b");
   }
 
   @Test
-  void retriesGoFirstAndThenTheEarliestDue() {
+  void retriesFirstThenEarliestDue() {
     add("late", "t", rank(0, 0), 9);
     add("early", "t", rank(0, 0), 1);
     add("retry", "t", new Rank(true, 3, 3), 20);
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void smallTenantIsNotBehindTheFloodOfAnother() {
+  void floodDoesNotDelayOtherTenant() {
     for (int i = 0; i < 50; i++) {
       add("flood" + i, "hot", rank(0, 0), 1);
     }
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void tenantWithLargerRequestsGetsFewerPlaces() {
+  void tenantWithLargerRequestsSendsFewer() {
     for (int i = 0; i < 20; i++) {
       queue.add(new WaitingRequest<>("large" + i, "l", rank(0, 0), 0, 1, 1_000, 10, 4));
       queue.add(new WaitingRequest<>("little" + i, "s", rank(0, 0), 0, 1, 1_000, 10, 1));
@@ -75,16 +75,16 @@
   }
 
   @Test
-  void lessUrgentRankIsPassedOverABoundedNumberOfTimes() {
+  void lowRankIsSkippedBoundedTimes() {
     add("low", "t", rank(9, 0), 1);
     for (int i = 0; i < 50; i++) {
       add("high" + i, "u", rank(0, 0), 1);
     }
-    assertThat(drain(queue).indexOf("low")).isEqualTo(RequestQueue.MAX_TIMES_PASSED);
+    assertThat(drain(queue).indexOf("low")).isEqualTo(RequestQueue.MAX_TIMES_SKIPPED);
   }
 
   @Test
-  void newestOfTheCostliestTenantGivesWayWhenTheQueueIsFull() {
+  void evictsNewestOfTenantWithMostWork() {
     add("small", "small", rank(5, 0), 9);
     for (int i = 1; i < MAX_REQUESTS; i++) {
       add("flood" + i, "hot", rank(0, 0), 1);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void bytesAreBoundedButARequestAloneMayBeLarger() {
+  void boundsBytesExceptForSingleRequest() {
     WaitingRequest<String> large =
         new WaitingRequest<>("large", "t", rank(0, 0), 0, 1, 1_000, MAX_BYTES + 1, 9);
     assertThat(queue.add(large)).isEmpty();
@@ -113,13 +113,12 @@
     assertThat(queue.remove("a")).isTrue();
     assertThat(queue.remove("a")).isFalse();
     assertThat(queue.poll()).isEmpty();
-    assertThat(queue.hasOverdue(5_000)).isFalse();
+    assertThat(queue.hasExpiredHold(5_000)).isFalse();
   }
 
   /** Each step adds a request (its number tells tenant and rank), takes one or removes one. */
   @Property
-  void nothingIsLostAndNothingComesTwice(
-      @ForAll List<@IntRange(min = -40, max = 200) Integer> steps) {
+  void losesAndDuplicatesNoRequest(@ForAll List<@IntRange(min = -40, max = 200) Integer> steps) {
     RequestQueue<String> bounded = new RequestQueue<>(8, 60);
     Set<String> inside = new HashSet<>();
     int number = 0;
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestReturnTimes.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestRetryAfterSchedule.java
@@ -9,11 +9,11 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-class TestReturnTimes {
+class TestRetryAfterSchedule {
 
   @Test
-  void callersRejectedTogetherComeBackApart() {
-    ReturnTimes times = new ReturnTimes();
+  void assignsDistinctTimes() {
+    RetryAfterSchedule times = new RetryAfterSchedule();
     Set<Long> returns = new HashSet<>();
     for (int i = 0; i < 40; i++) {
       returns.add(times.retryAfterMs(400, 5_000, 0));
@@ -22,8 +22,8 @@
   }
 
   @Test
-  void moreCallersThanMomentsStaySpread() {
-    ReturnTimes times = new ReturnTimes();
+  void spreadsCallersWithoutFreeSlots() {
+    RetryAfterSchedule times = new RetryAfterSchedule();
     Set<Long> returns = new HashSet<>();
     for (int i = 0; i < 500; i++) {
       returns.add(times.retryAfterMs(100, 900, 0));
@@ -32,10 +32,10 @@
   }
 
   @Property
-  void noCallerIsToldToWaitLongerThanItWould(
+  void retryAfterIsWithinThirdOfRemainingTime(
       @ForAll @LongRange(min = 0, max = 100_000) long expectedWaitMs,
       @ForAll @LongRange(min = 60, max = 10_000) long timeLeftMs) {
-    ReturnTimes times = new ReturnTimes();
+    RetryAfterSchedule times = new RetryAfterSchedule();
     for (int i = 0; i < 20; i++) {
       assertThat(times.retryAfterMs(expectedWaitMs, timeLeftMs, i)).isBetween(1L, timeLeftMs / 3);
     }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/BatchBesideOnlineModel.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/MixedLoadSimulation.java
@@ -1,7 +1,7 @@
 package io.pathdeck.fleet.store;
 
 import io.pathdeck.fleet.adapter.EngineLoadReport;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.engine.Placement;
@@ -24,30 +24,30 @@
  * asks engines for their load. In the middle all of these processes may lose their state, while
  * engines go on with what they run.
  */
-final class BatchBesideOnlineModel {
+final class MixedLoadSimulation {
   /** No processes lose their state. */
-  static final double NO_LOSS = 0;
+  static final double NO_CRASH = 0;
 
   private static final int GATEWAYS = 6;
   private static final int ENGINES = 8;
   private static final int SLOTS = 8;
-  private static final long DAY_MS = 54_000;
-  private static final long CREST_EVERY_MS = 6_000;
+  private static final long DURATION_MS = 54_000;
+  private static final long PEAK_INTERVAL_MS = 6_000;
   private static final long TROUGH_MS = 3_600;
-  private static final double TROUGH_PER_MS = 0.0147;
-  private static final double CREST_PER_MS = 0.072;
+  private static final double OFF_PEAK_REQUESTS_PER_MS = 0.0147;
+  private static final double PEAK_REQUESTS_PER_MS = 0.072;
   private static final double EVENT_MS = 23.5;
-  private static final double READING_MS = 12;
+  private static final double PREFILL_MS = 12;
   private static final int STREAM_EVENTS = 31;
-  private static final long AIM_MS = 300;
+  private static final long LATENCY_TARGET_MS = 300;
   private static final double JOBS_PER_MS = 0.00048;
   private static final int JOB_ITEMS = 10;
   private static final int ITEM_EVENTS = 216;
   private static final long ITEM_DUE_MS = 18_000;
   private static final long STEP_MS = 20;
-  private static final long YIELD_PAUSE_MS = 400;
-  private static final double WAY_MS = 2;
-  private static final double REPORT_LAG_MS = 50;
+  private static final long YIELD_RETRY_DELAY_MS = 400;
+  private static final double NETWORK_DELAY_MS = 2;
+  private static final double REPORT_DELAY_MS = 50;
   private static final long GATEWAY_HALF_LIFE_MS = 250;
   private static final long STORE_HALF_LIFE_MS = 500;
 
@@ -55,28 +55,33 @@
   private static final int UNRECORDED_EVENTS = 30;
 
   /** For how long engines go on with calls of processes that are gone. */
-  private static final double ORPHAN_MS = 1_500;
+  private static final double ORPHAN_RUN_MS = 1_500;
 
   private static final Prompt PROMPT = new Prompt(450, "shared", 200);
   private static final List<String> ZONES = List.of("a", "b", "c");
 
   /** What callers got in several days. */
   record Result(
-      int asked, int late, int askedInCrests, int lateInCrests, int items, int lateItems) {
+      int requests,
+      int lateRequests,
+      int peakRequests,
+      int latePeakRequests,
+      int items,
+      int lateItems) {
     static final Result NONE = new Result(0, 0, 0, 0, 0, 0);
 
     Result plus(Result other) {
       return new Result(
-          asked + other.asked,
-          late + other.late,
-          askedInCrests + other.askedInCrests,
-          lateInCrests + other.lateInCrests,
+          requests + other.requests,
+          lateRequests + other.lateRequests,
+          peakRequests + other.peakRequests,
+          latePeakRequests + other.latePeakRequests,
           items + other.items,
           lateItems + other.lateItems);
     }
 
-    double lateInCrestsShare() {
-      return lateInCrests / (double) askedInCrests;
+    double latePeakRequestShare() {
+      return latePeakRequests / (double) peakRequests;
     }
 
     double lateItemShare() {
@@ -84,15 +89,15 @@
     }
   }
 
-  private record Timed(double atMs, long order, Runnable action) {}
+  private record ScheduledAction(double atMs, long order, Runnable action) {}
 
   private static final class Call {
-    final Runnable begin;
+    final Runnable onStart;
     boolean running;
     boolean over;
 
     Call(Runnable begin) {
-      this.begin = begin;
+      this.onStart = begin;
     }
   }
 
@@ -111,7 +116,7 @@
     private void start(Call call) {
       call.running = true;
       running.add(call);
-      call.begin.run();
+      call.onStart.run();
     }
 
     void end(Call call) {
@@ -130,12 +135,12 @@
   private static final class Item {
     final double dueMs;
     final int events;
-    int done;
+    int eventsDone;
     EngineState state;
     Call call;
-    double beganMs;
+    double startedMs;
     double notBeforeMs;
-    boolean whole;
+    boolean complete;
 
     Item(double dueMs, int events) {
       this.dueMs = dueMs;
@@ -144,155 +149,158 @@
   }
 
   private final SplittableRandom random;
-  private final BatchWindow window = new BatchWindow();
-  private final double lossAtMs;
-  private final double lossForMs;
-  private final PriorityQueue<Timed> agenda =
-      new PriorityQueue<>(Comparator.comparingDouble(Timed::atMs).thenComparing(Timed::order));
+  private final BatchSlotPolicy slotPolicy = new BatchSlotPolicy();
+  private final double crashAtMs;
+  private final double outageMs;
+  private final PriorityQueue<ScheduledAction> eventQueue =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(ScheduledAction::atMs).thenComparing(ScheduledAction::order));
   private final Map<String, Engine> engines = new HashMap<>();
-  private final Map<String, EngineInstance> listed = new HashMap<>();
-  private final List<EngineTable> tables = new ArrayList<>();
-  private final List<EngineChoice> choices = new ArrayList<>();
-  private EngineTable store = new EngineTable(STORE_HALF_LIFE_MS);
-  private final EngineChoice storeChoice;
+  private final Map<String, EngineInstance> engineList = new HashMap<>();
+  private final List<EngineTable> gatewayTables = new ArrayList<>();
+  private final List<EngineLoadBalancer> gatewayChoices = new ArrayList<>();
+  private EngineTable storeTable = new EngineTable(STORE_HALF_LIFE_MS);
+  private final EngineLoadBalancer storeChoice;
   private final List<Item> items = new ArrayList<>();
   private double nowMs;
-  private double leadsSinceMs;
-  private int life;
-  private double nextRunningPollMs;
-  private double nextOthersPollMs;
-  private long order;
-  private int asked;
-  private int late;
-  private int askedInCrests;
-  private int lateInCrests;
+  private double leaderSinceMs;
+  private int generation;
+  private double nextBusyPollMs;
+  private double nextIdlePollMs;
+  private long nextOrder;
+  private int requests;
+  private int lateRequests;
+  private int peakRequests;
+  private int latePeakRequests;
   private int lateItems;
 
-  BatchBesideOnlineModel(long seed, double lossAtMs, double lossForMs) {
+  MixedLoadSimulation(long seed, double lossAtMs, double lossForMs) {
     this.random = new SplittableRandom(seed);
-    this.lossAtMs = lossAtMs;
-    this.lossForMs = lossForMs;
+    this.crashAtMs = lossAtMs;
+    this.outageMs = lossForMs;
     for (int i = 0; i < ENGINES; i++) {
       String id = "e" + i;
       engines.put(id, new Engine());
-      listed.put(id, new EngineInstance(id, "s", "h:1", ZONES.get(i % 3), SLOTS, false));
+      engineList.put(id, new EngineInstance(id, "s", "h:1", ZONES.get(i % 3), SLOTS, false));
     }
     for (int i = 0; i < GATEWAYS; i++) {
-      tables.add(new EngineTable(GATEWAY_HALF_LIFE_MS));
-      choices.add(new EngineChoice(ZONES.get(i % ZONES.size()), seed + i));
+      gatewayTables.add(new EngineTable(GATEWAY_HALF_LIFE_MS));
+      gatewayChoices.add(new EngineLoadBalancer(ZONES.get(i % ZONES.size()), seed + i));
     }
-    storeChoice = new EngineChoice(ZONES.get(0), seed);
-    forget();
+    storeChoice = new EngineLoadBalancer(ZONES.get(0), seed);
+    resetProcesses();
   }
 
-  private void forget() {
-    life++;
-    leadsSinceMs = nowMs;
+  private void resetProcesses() {
+    generation++;
+    leaderSinceMs = nowMs;
     for (int i = 0; i < GATEWAYS; i++) {
-      tables.set(i, new EngineTable(GATEWAY_HALF_LIFE_MS));
-      tables.get(i).update(listed);
+      gatewayTables.set(i, new EngineTable(GATEWAY_HALF_LIFE_MS));
+      gatewayTables.get(i).update(engineList);
     }
-    store = new EngineTable(STORE_HALF_LIFE_MS);
-    store.update(listed);
+    storeTable = new EngineTable(STORE_HALF_LIFE_MS);
+    storeTable.update(engineList);
   }
 
   Result run() {
-    after(0, this::arrive);
-    after(0, this::submit);
+    after(0, this::generateRequest);
+    after(0, this::generateJob);
     after(0, this::step);
-    if (lossAtMs > 0) {
-      after(lossAtMs, this::loseAll);
-      after(lossAtMs + lossForMs, this::forget);
+    if (crashAtMs > 0) {
+      after(crashAtMs, this::crashAll);
+      after(crashAtMs + outageMs, this::resetProcesses);
     }
-    while (!agenda.isEmpty()) {
-      Timed next = agenda.remove();
+    while (!eventQueue.isEmpty()) {
+      ScheduledAction next = eventQueue.remove();
       nowMs = next.atMs();
       next.action().run();
     }
-    return new Result(asked, late, askedInCrests, lateInCrests, items.size(), lateItems);
+    return new Result(
+        requests, lateRequests, peakRequests, latePeakRequests, items.size(), lateItems);
   }
 
   private void after(double delayMs, Runnable action) {
-    agenda.add(new Timed(nowMs + delayMs, order++, action));
+    eventQueue.add(new ScheduledAction(nowMs + delayMs, nextOrder++, action));
   }
 
   private long clockMs() {
     return (long) nowMs;
   }
 
-  private boolean isDark() {
-    return lossAtMs > 0 && nowMs >= lossAtMs && nowMs < lossAtMs + lossForMs;
+  private boolean isDown() {
+    return crashAtMs > 0 && nowMs >= crashAtMs && nowMs < crashAtMs + outageMs;
   }
 
-  private void loseAll() {
-    life++;
+  private void crashAll() {
+    generation++;
     for (Item item : items) {
       if (item.call != null) {
         Engine engine = engines.get(item.state.instance().id());
         Call orphan = item.call;
-        item.done = Math.max(item.done, eventsNow(item) - UNRECORDED_EVENTS);
+        item.eventsDone = Math.max(item.eventsDone, eventsNow(item) - UNRECORDED_EVENTS);
         item.call = null;
-        after(ORPHAN_MS, () -> engine.end(orphan));
+        after(ORPHAN_RUN_MS, () -> engine.end(orphan));
       }
     }
   }
 
   // ---- online requests
 
-  private boolean inCrest() {
-    return nowMs % CREST_EVERY_MS >= TROUGH_MS;
+  private boolean inPeak() {
+    return nowMs % PEAK_INTERVAL_MS >= TROUGH_MS;
   }
 
-  private void arrive() {
-    if (nowMs > DAY_MS) {
+  private void generateRequest() {
+    if (nowMs > DURATION_MS) {
       return;
     }
-    double perMs = inCrest() ? CREST_PER_MS : TROUGH_PER_MS;
-    after(-Math.log(1 - random.nextDouble()) / perMs, this::arrive);
-    boolean crest = inCrest();
-    if (isDark()) {
+    double perMs = inPeak() ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS;
+    after(-Math.log(1 - random.nextDouble()) / perMs, this::generateRequest);
+    boolean crest = inPeak();
+    if (isDown()) {
       // Callers come back when the processes are there again.
-      after(lossAtMs + lossForMs - nowMs + 500 * random.nextDouble(), () -> request(false));
+      after(crashAtMs + outageMs - nowMs + 500 * random.nextDouble(), () -> sendRequest(false));
     } else {
-      request(crest);
+      sendRequest(crest);
     }
   }
 
-  private void request(boolean crest) {
+  private void sendRequest(boolean crest) {
     int gateway = random.nextInt(GATEWAYS);
-    List<EngineState> usable = tables.get(gateway).usable("s", Set.of(), clockMs());
-    Placement placement = choices.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
+    List<EngineState> usable = gatewayTables.get(gateway).usable("s", Set.of(), clockMs());
+    Placement placement =
+        gatewayChoices.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
     EngineState state = placement.engine();
     Engine engine = engines.get(state.instance().id());
     double sentMs = nowMs;
-    asked++;
-    askedInCrests += crest ? 1 : 0;
+    requests++;
+    peakRequests += crest ? 1 : 0;
     state.onStart(clockMs());
-    state.onPromptSent(placement.tokensToRead());
-    int ofLife = life;
+    state.onPromptSent(placement.prefillTokens());
+    int ofLife = generation;
     Call[] call = new Call[1];
     double events = STREAM_EVENTS * (0.75 + 0.5 * random.nextDouble());
     call[0] =
         new Call(
             () -> {
               after(
-                  READING_MS + EVENT_MS,
+                  PREFILL_MS + EVENT_MS,
                   () -> {
-                    state.onPromptRead(placement.tokensToRead());
+                    state.onPrefillDone(placement.prefillTokens());
                     state.onFirstBytes((long) (nowMs - sentMs), clockMs());
-                    state.onLoad(load(engine), clockMs());
-                    boolean isLate = nowMs - sentMs > AIM_MS || ofLife != life;
-                    late += isLate ? 1 : 0;
-                    lateInCrests += isLate && crest ? 1 : 0;
+                    state.onLoadReport(load(engine), clockMs());
+                    boolean isLate = nowMs - sentMs > LATENCY_TARGET_MS || ofLife != generation;
+                    lateRequests += isLate ? 1 : 0;
+                    latePeakRequests += isLate && crest ? 1 : 0;
                   });
               after(
-                  READING_MS + EVENT_MS * events,
+                  PREFILL_MS + EVENT_MS * events,
                   () -> {
                     state.onEnd();
                     engine.end(call[0]);
                   });
             });
-    after(WAY_MS, () -> engine.take(call[0]));
+    after(NETWORK_DELAY_MS, () -> engine.take(call[0]));
   }
 
   private EngineLoadReport load(Engine engine) {
@@ -301,11 +309,11 @@
 
   // ---- batch items
 
-  private void submit() {
-    if (nowMs > DAY_MS) {
+  private void generateJob() {
+    if (nowMs > DURATION_MS) {
       return;
     }
-    after(-Math.log(1 - random.nextDouble()) / JOBS_PER_MS, this::submit);
+    after(-Math.log(1 - random.nextDouble()) / JOBS_PER_MS, this::generateJob);
     int count = (int) Math.round(JOB_ITEMS * (0.6 + 0.8 * random.nextDouble()));
     for (int i = 0; i < count; i++) {
       int events = (int) (ITEM_EVENTS * (0.75 + 0.5 * random.nextDouble()));
@@ -314,39 +322,39 @@
   }
 
   private void step() {
-    boolean open = items.stream().anyMatch(item -> !item.whole);
-    if (nowMs > DAY_MS && !open) {
+    boolean open = items.stream().anyMatch(item -> !item.complete);
+    if (nowMs > DURATION_MS && !open) {
       return;
     }
     after(STEP_MS, this::step);
-    if (isDark()) {
+    if (isDown()) {
       return;
     }
-    poll();
+    pollLoad();
     startItems();
   }
 
-  private void poll() {
-    boolean waiting = items.stream().anyMatch(item -> !item.whole && item.call == null);
-    boolean running = nowMs >= nextRunningPollMs;
-    boolean others = waiting && nowMs >= nextOthersPollMs;
-    for (EngineState state : store.all()) {
+  private void pollLoad() {
+    boolean waiting = items.stream().anyMatch(item -> !item.complete && item.call == null);
+    boolean running = nowMs >= nextBusyPollMs;
+    boolean others = waiting && nowMs >= nextIdlePollMs;
+    for (EngineState state : storeTable.all()) {
       if (state.inFlight() > 0 ? running : others) {
         EngineLoadReport told = load(engines.get(state.instance().id()));
-        int ofLife = life;
-        after(REPORT_LAG_MS, () -> onReport(state, told, ofLife));
+        int ofLife = generation;
+        after(REPORT_DELAY_MS, () -> onReport(state, told, ofLife));
       }
     }
     if (running) {
-      nextRunningPollMs = nowMs + LoadPolls.RUNNING_INTERVAL_MS;
+      nextBusyPollMs = nowMs + LoadPolls.BUSY_INTERVAL_MS;
     }
     if (others) {
-      nextOthersPollMs = nowMs + LoadPolls.OTHER_INTERVAL_MS;
+      nextIdlePollMs = nowMs + LoadPolls.IDLE_INTERVAL_MS;
     }
   }
 
   private long slackMs(Item item) {
-    int done = item.call == null ? item.done : eventsNow(item);
+    int done = item.call == null ? item.eventsDone : eventsNow(item);
     return (long) (item.dueMs - nowMs - (item.events - done) * EVENT_MS);
   }
 
@@ -359,49 +367,49 @@
   }
 
   private void onReport(EngineState state, EngineLoadReport told, int ofLife) {
-    if (ofLife != life) {
+    if (ofLife != generation) {
       return;
     }
-    state.onLoad(told, clockMs());
+    state.onLoadReport(told, clockMs());
     items.stream()
         .filter(item -> item.call != null && item.state == state)
         .sorted(startOrder().reversed())
-        .limit(window.yields(state, told, false))
+        .limit(slotPolicy.itemsToYield(state, told, false))
         .toList()
         .forEach(this::stop);
   }
 
   private int eventsNow(Item item) {
     if (!item.call.running) {
-      return item.done;
+      return item.eventsDone;
     }
-    double ranMs = nowMs - item.beganMs - READING_MS;
-    return Math.min(item.events, item.done + (int) Math.max(0, ranMs / EVENT_MS));
+    double ranMs = nowMs - item.startedMs - PREFILL_MS;
+    return Math.min(item.events, item.eventsDone + (int) Math.max(0, ranMs / EVENT_MS));
   }
 
   private void stop(Item item) {
-    item.done = eventsNow(item);
+    item.eventsDone = eventsNow(item);
     Engine engine = engines.get(item.state.instance().id());
     Call call = item.call;
-    after(WAY_MS, () -> engine.end(call));
+    after(NETWORK_DELAY_MS, () -> engine.end(call));
     item.state.onEnd();
     item.call = null;
-    item.notBeforeMs = nowMs + YIELD_PAUSE_MS;
+    item.notBeforeMs = nowMs + YIELD_RETRY_DELAY_MS;
   }
 
   private void startItems() {
-    long leadingForMs = (long) (nowMs - leadsSinceMs);
-    double part = window.shareAfter(leadingForMs);
+    long leadingForMs = (long) (nowMs - leaderSinceMs);
+    double part = slotPolicy.rampUpShare(leadingForMs);
     List<Item> waiting =
         items.stream()
-            .filter(item -> !item.whole && item.call == null && nowMs >= item.notBeforeMs)
+            .filter(item -> !item.complete && item.call == null && nowMs >= item.notBeforeMs)
             .sorted(startOrder())
             .toList();
     for (Item item : waiting) {
       List<EngineState> open =
-          store.usable("s", Set.of(), clockMs()).stream()
-              .filter(state -> window.knowsLoad(state, leadingForMs, clockMs()))
-              .filter(state -> window.hasRoom(state, part, clockMs()))
+          storeTable.usable("s", Set.of(), clockMs()).stream()
+              .filter(state -> slotPolicy.isLoadKnown(state, leadingForMs, clockMs()))
+              .filter(state -> slotPolicy.hasFreeSlot(state, part, clockMs()))
               .toList();
       if (open.isEmpty()) {
         return;
@@ -414,18 +422,18 @@
     Engine engine = engines.get(state.instance().id());
     item.state = state;
     state.onStart(clockMs());
-    int ofLife = life;
+    int ofLife = generation;
     Call[] call = new Call[1];
     call[0] =
         new Call(
             () -> {
-              item.beganMs = nowMs;
-              double runMs = READING_MS + (item.events - item.done) * EVENT_MS;
+              item.startedMs = nowMs;
+              double runMs = PREFILL_MS + (item.events - item.eventsDone) * EVENT_MS;
               after(runMs, () -> end(item, engine, call[0], ofLife));
             });
     item.call = call[0];
     after(
-        WAY_MS,
+        NETWORK_DELAY_MS,
         () -> {
           if (!call[0].over && item.call == call[0]) {
             engine.take(call[0]);
@@ -438,12 +446,12 @@
       return;
     }
     engine.end(call);
-    if (item.call != call || ofLife != life) {
+    if (item.call != call || ofLife != generation) {
       return;
     }
     item.state.onEnd();
     item.call = null;
-    item.whole = true;
+    item.complete = true;
     lateItems += nowMs > item.dueMs ? 1 : 0;
   }
 }
--- /dev/null
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestBatchSlotPolicy.java
@@ -0,0 +1,116 @@
+package io.pathdeck.fleet.store;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.pathdeck.fleet.adapter.EngineLoadReport;
+import io.pathdeck.fleet.engine.EngineState;
+import io.pathdeck.fleet.engine.EngineTable;
+import io.pathdeck.protocol.fleet.EngineInstance;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class TestBatchSlotPolicy {
+  private static final long REPORT_HALF_LIFE_MS = 500;
+  private static final long NOW_MS = 1_000;
+  private static final long LONG_SLACK_MS = 12_000;
+  private static final long SHORT_SLACK_MS = 1_000;
+  private static final long NEGATIVE_SLACK_MS = -1;
+
+  private final BatchSlotPolicy policy = new BatchSlotPolicy();
+  private final EngineState engine = engine();
+
+  private static EngineState engine() {
+    EngineTable table = new EngineTable(REPORT_HALF_LIFE_MS);
+    table.update(Map.of("e", new EngineInstance("e", "s", "h:1", "z", 12, false)));
+    return table.find("e");
+  }
+
+  private int startableItems() {
+    int items = 0;
+    while (policy.hasFreeSlot(engine, 1, NOW_MS)) {
+      engine.onStart(NOW_MS);
+      items++;
+    }
+    for (int i = 0; i < items; i++) {
+      engine.onEnd();
+    }
+    return items;
+  }
+
+  @Test
+  void idleEngineKeepsReservedSlotsFree() {
+    assertThat(startableItems()).isEqualTo(11);
+  }
+
+  @Test
+  void itemsTakeUnusedSlots() {
+    engine.onLoadReport(new EngineLoadReport(4, 0, 12), NOW_MS);
+    assertThat(startableItems()).isEqualTo(7);
+  }
+
+  @Test
+  void noItemStartsOnBusyEngine() {
+    engine.onLoadReport(new EngineLoadReport(11, 0, 12), NOW_MS);
+    assertThat(startableItems()).isZero();
+  }
+
+  private int itemsToYield(int running, int waiting, boolean slow) {
+    return policy.itemsToYield(engine, new EngineLoadReport(running, waiting, 12), slow);
+  }
+
+  @Test
+  void itemsYieldToRequestsWithoutSlot() {
+    assertThat(itemsToYield(12, 0, false)).isZero();
+    assertThat(itemsToYield(12, 1, false)).isEqualTo(1);
+    assertThat(itemsToYield(12, 2, false)).isEqualTo(2);
+    assertThat(itemsToYield(12, 50, false)).isEqualTo(50);
+  }
+
+  /** A request counts as waiting while its prompt is read, though it has a slot. */
+  @Test
+  void noItemYieldsWhileSlotsAreFree() {
+    assertThat(itemsToYield(8, 4, false)).isZero();
+    assertThat(itemsToYield(10, 4, false)).isEqualTo(2);
+  }
+
+  @Test
+  void itemsYieldLaterOnSlowEngines() {
+    assertThat(itemsToYield(12, 1, true)).isZero();
+    assertThat(itemsToYield(12, 2, true)).isEqualTo(2);
+  }
+
+  /** After a loss of power late items took three quarters of all slots. */
+  @Test
+  void lateItemsStartLast() {
+    assertThat(ItemUrgency.of(NEGATIVE_SLACK_MS)).isGreaterThan(ItemUrgency.of(LONG_SLACK_MS));
+    assertThat(ItemUrgency.of(LONG_SLACK_MS)).isGreaterThan(ItemUrgency.of(SHORT_SLACK_MS));
+  }
+
+  /** After a loss of power 44 items started at once on engines that were still full. */
+  @Test
+  void waitsForFirstLoadReport() {
+    assertThat(policy.isLoadKnown(engine, 100, NOW_MS)).isFalse();
+    engine.onLoadReport(new EngineLoadReport(3, 0, 12), NOW_MS);
+    assertThat(policy.isLoadKnown(engine, 100, NOW_MS + 300)).isTrue();
+  }
+
+  @Test
+  void waitForLoadReportIsBounded() {
+    assertThat(policy.isLoadKnown(engine, 1_499, NOW_MS)).isFalse();
+    assertThat(policy.isLoadKnown(engine, 1_500, NOW_MS)).isTrue();
+  }
+
+  /**
+   * All unfinished items of a new leader wait at once, and after a loss of power all callers do.
+   */
+  @Test
+  void newLeaderRampsUp() {
+    assertThat(policy.rampUpShare(0)).isZero();
+    assertThat(policy.rampUpShare(2_000)).isEqualTo(0.5);
+    assertThat(policy.rampUpShare(60_000)).isEqualTo(1);
+    engine.onStart(NOW_MS);
+    assertThat(policy.hasFreeSlot(engine, 0.05, NOW_MS)).isFalse();
+    engine.onEnd();
+    assertThat(policy.hasFreeSlot(engine, 0, NOW_MS)).isTrue();
+  }
+}
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemPlacement.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemPlacement.java
@@ -15,11 +15,11 @@
 /** Items that are due 18 s after they came and run 3.4 s on a usual engine, 9 s on a slow one. */
 class TestItemPlacement {
   private static final long NOW_MS = 1_000;
-  private static final long USUAL_RUN_MS = 3_400;
+  private static final long TYPICAL_RUN_MS = 3_400;
   private static final int STREAMS = 8;
 
   private final EngineTable table = new EngineTable(500);
-  private final EngineState usual;
+  private final EngineState typical;
   private final EngineState slow;
 
   TestItemPlacement() {
@@ -28,64 +28,67 @@
       listed.put(id, new EngineInstance(id, "s", "h:1", "z", 8, false));
     }
     table.update(listed);
-    usual = table.find("u1");
+    typical = table.find("u1");
     slow = table.find("slow");
-    stream("u1", 25);
-    stream("u2", 25);
-    stream("slow", 66);
+    recordStreams("u1", 25);
+    recordStreams("u2", 25);
+    recordStreams("slow", 66);
   }
 
-  private void stream(String id, long eventMs) {
+  private void recordStreams(String id, long eventMs) {
     for (int i = 0; i < STREAMS; i++) {
       table.find(id).pace().onStream(10, 10 * eventMs, NOW_MS);
     }
   }
 
-  private void tellPace() {
+  private void reportPace() {
     EngineLoadReport load = new EngineLoadReport(0, 0, 8, EngineInstance.BORN_UNKNOWN, 100);
-    table.all().forEach(engine -> engine.onLoad(load, NOW_MS));
+    table.all().forEach(engine -> engine.onLoadReport(load, NOW_MS));
   }
 
-  private List<EngineState> among(List<EngineState> open, long dueInMs) {
+  private List<EngineState> candidates(List<EngineState> open, long dueInMs) {
     ServicePace pace = table.pace("s", NOW_MS);
-    ItemUrgency urgency = ItemUrgency.of(dueInMs - USUAL_RUN_MS);
-    return ItemPlacement.among(
-        open, pace, urgency, engine -> dueInMs - Math.round(USUAL_RUN_MS * pace.relative(engine)));
+    ItemUrgency urgency = ItemUrgency.of(dueInMs - TYPICAL_RUN_MS);
+    return ItemPlacement.candidates(
+        open,
+        pace,
+        urgency,
+        engine -> dueInMs - Math.round(TYPICAL_RUN_MS * pace.relativePace(engine)));
   }
 
   @Test
-  void itemThatCanWaitGoesToTheSlowEngine() {
-    tellPace();
-    assertThat(among(List.of(usual, slow), 18_000)).containsExactly(slow);
-    assertThat(among(List.of(usual), 18_000)).containsExactly(usual);
+  void deferrableItemPrefersSlowEngine() {
+    reportPace();
+    assertThat(candidates(List.of(typical, slow), 18_000)).containsExactly(slow);
+    assertThat(candidates(List.of(typical), 18_000)).containsExactly(typical);
   }
 
   @Test
-  void itemThatWouldNotBeDoneInTimeOnTheSlowEngineGoesElsewhereOrWaits() {
-    tellPace();
-    assertThat(among(List.of(usual, slow), 8_500)).containsExactly(usual);
-    assertThat(among(List.of(slow), 8_500)).isEmpty();
+  void itemAvoidsTooSlowEngine() {
+    reportPace();
+    assertThat(candidates(List.of(typical, slow), 8_500)).containsExactly(typical);
+    assertThat(candidates(List.of(slow), 8_500)).isEmpty();
   }
 
   @Test
-  void urgentItemGoesToAnEngineThatIsNotSlow() {
-    tellPace();
-    assertThat(among(List.of(usual, slow), 6_000)).containsExactly(usual);
-    assertThat(among(List.of(slow), 6_000)).isEmpty();
+  void urgentItemAvoidsSlowEngine() {
+    reportPace();
+    assertThat(candidates(List.of(typical, slow), 6_000)).containsExactly(typical);
+    assertThat(candidates(List.of(slow), 6_000)).isEmpty();
   }
 
   @Test
-  void overdueItemTakesNothingFromOnlineRequestsWhereItCan() {
-    tellPace();
-    assertThat(among(List.of(usual, slow), 1_000)).containsExactly(slow);
-    assertThat(among(List.of(usual), 1_000)).containsExactly(usual);
+  void lateItemPrefersSlowEngine() {
+    reportPace();
+    assertThat(candidates(List.of(typical, slow), 1_000)).containsExactly(slow);
+    assertThat(candidates(List.of(typical), 1_000)).containsExactly(typical);
   }
 
   @Test
-  void whereNoEngineTellsItsPaceAllAreEqual() {
-    List<EngineState> open = List.of(usual, slow);
+  void unreportedPaceMakesEnginesEqual() {
+    List<EngineState> open = List.of(typical, slow);
     for (long dueInMs : new long[] {18_000, 8_500, 6_000, 1_000}) {
-      assertThat(among(open, dueInMs)).isEqualTo(open);
+      assertThat(candidates(open, dueInMs)).isEqualTo(open);
     }
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
@@ -37,69 +37,69 @@
   }
 
   @Test
-  void eventsAreProposedOnceAndInOrder() {
+  void takesEventsOnceInOrder() {
     ItemRun run = run();
-    assertThat(run.beganAtFirstEvent()).isTrue();
-    assertThat(run.keep(new ItemEvents(-1, 3, "a\nb"))).isTrue();
-    assertThat(run.keep(new ItemEvents(3, 4, "c"))).isTrue();
+    assertThat(run.startedAtFirstEvent()).isTrue();
+    assertThat(run.appendEvents(new ItemEvents(-1, 3, "a\nb"))).isTrue();
+    assertThat(run.appendEvents(new ItemEvents(3, 4, "c"))).isTrue();
     assertThat(run.takeUnrecorded()).contains(new BatchProgress("j", "i", -1, 4, "a\nb\nc"));
     assertThat(run.takeUnrecorded()).isEmpty();
-    run.keep(new ItemEvents(4, 5, "d"));
-    assertThat(run.decideWhole()).isEqualTo(new BatchOutcome("i", true, 4, "d"));
+    run.appendEvents(new ItemEvents(4, 5, "d"));
+    assertThat(run.finishCompleted()).isEqualTo(new BatchOutcome("i", true, 4, "d"));
     assertThat(run.takeUnrecorded()).isEmpty();
   }
 
   @Test
-  void eventsAfterAGapOrTwiceAreNotKept() {
+  void rejectsGapsAndDuplicates() {
     ItemRun run = run();
-    run.keep(new ItemEvents(-1, 3, "a"));
-    assertThat(run.keep(new ItemEvents(4, 6, "gap"))).isFalse();
-    assertThat(run.keep(new ItemEvents(-1, 3, "a"))).isFalse();
+    run.appendEvents(new ItemEvents(-1, 3, "a"));
+    assertThat(run.appendEvents(new ItemEvents(4, 6, "gap"))).isFalse();
+    assertThat(run.appendEvents(new ItemEvents(-1, 3, "a"))).isFalse();
     assertThat(run.lastEvent()).isEqualTo(3);
-    assertThat(run.keep(new ItemEvents(9, 9, ""))).isTrue();
+    assertThat(run.appendEvents(new ItemEvents(9, 9, ""))).isTrue();
   }
 
   @Test
-  void runBeginsAfterWhatIsRecorded() {
+  void startsAfterRecordedEvents() {
     record(new BatchProgress("j", "i", -1, 7, "recorded"));
-    assertThat(run().beganAtFirstEvent()).isFalse();
+    assertThat(run().startedAtFirstEvent()).isFalse();
     ItemRun run = run();
     assertThat(run.lastEvent()).isEqualTo(7);
-    run.keep(new ItemEvents(7, 8, "rest"));
-    assertThat(run.decideWhole()).isEqualTo(new BatchOutcome("i", true, 7, "rest"));
+    run.appendEvents(new ItemEvents(7, 8, "rest"));
+    assertThat(run.finishCompleted()).isEqualTo(new BatchOutcome("i", true, 7, "rest"));
   }
 
   @Test
-  void ageNeverCountsMoreThanHasPassed() {
+  void ageIsLowerBound() {
     BatchJob job = machine.job("j").orElseThrow();
     long logTimeMs = job.submittedAtMs() + 4_000;
     ItemRun inherited = new ItemRun(job, item, 10_000, logTimeMs);
-    assertThat(inherited.leastAgeMs(10_000)).as("the log ran at twice real speed").isEqualTo(2_000);
-    assertThat(inherited.leastAgeMs(11_500)).as("then real time counts").isEqualTo(3_500);
+    assertThat(inherited.minAgeMs(10_000)).as("the log ran at twice real speed").isEqualTo(2_000);
+    assertThat(inherited.minAgeMs(11_500)).as("then real time counts").isEqualTo(3_500);
   }
 
   @Test
-  void timeAtASlowEngineCountsAsWhatAUsualOneWouldHaveTaken() {
+  void runTimeIsNormalizedByPace() {
     ItemRun run = run();
     ItemStream stream = new ItemStream(-1, outcome -> {});
     run.onStart(stream, engine(), 3, 1_000);
-    assertThat(run.ranMs(4_000)).isEqualTo(1_000);
+    assertThat(run.normalizedRunMs(4_000)).isEqualTo(1_000);
     run.onStop(4_000);
     run.onStart(stream, engine(), 1, 5_000);
-    assertThat(run.ranMs(5_500)).isEqualTo(1_500);
+    assertThat(run.normalizedRunMs(5_500)).isEqualTo(1_500);
   }
 
   @Test
-  void eventsOfAnItemTellThePaceOfItsEngineWithoutTheWaitForTheFirstOnes() {
+  void paceExcludesWaitForFirstEvents() {
     EngineState engine = engine();
     ItemRun run = run();
     run.onStart(new ItemStream(-1, outcome -> {}), engine, 1, 1_000);
-    run.keep(new ItemEvents(-1, 9, "first"));
-    run.tellPace(1_700, (events, usualMs) -> {});
+    run.appendEvents(new ItemEvents(-1, 9, "first"));
+    run.reportPace(1_700, (events, usualMs) -> {});
     assertThat(engine.pace().msPerEvent()).as("it may have waited").isZero();
-    run.keep(new ItemEvents(9, 19, "next"));
-    run.tellPace(2_400, (events, usualMs) -> {});
-    run.tellPace(9_000, (events, usualMs) -> {});
+    run.appendEvents(new ItemEvents(9, 19, "next"));
+    run.reportPace(2_400, (events, usualMs) -> {});
+    run.reportPace(9_000, (events, usualMs) -> {});
     assertThat(engine.pace().msPerEvent()).isEqualTo(70);
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.pathdeck.fleet.adapter.EngineLoadReport;
-import io.pathdeck.fleet.engine.EngineChoice;
+import io.pathdeck.fleet.engine.EngineLoadBalancer;
 import io.pathdeck.fleet.engine.EngineState;
 import io.pathdeck.fleet.engine.EngineTable;
 import io.pathdeck.fleet.member.FleetView;
@@ -28,8 +28,8 @@
 class TestItemScheduler {
   private static final long DUE_MS = 18_000;
   private static final long URGENT_DUE_MS = 6_000;
-  private static final long OVERDUE_DUE_MS = 1_000;
-  private static final long LONG_LEADING_MS = 60_000;
+  private static final long LATE_DUE_MS = 1_000;
+  private static final long NOW_MS = 60_000;
 
   private final BatchStateMachine machine = new BatchStateMachine();
   private final EngineTable engines = new EngineTable(500);
@@ -41,10 +41,10 @@
 
   TestItemScheduler() {
     engines.update(view.engines());
-    EngineChoice choice = new EngineChoice("z", 1);
+    EngineLoadBalancer choice = new EngineLoadBalancer("z", 1);
     scheduler = new ItemScheduler(engines, choice, new ItemSlack(machine::timeMs));
     addItem("patient", DUE_MS);
-    addItem("overdue", OVERDUE_DUE_MS);
+    addItem("overdue", LATE_DUE_MS);
     addItem("urgent", URGENT_DUE_MS);
   }
 
@@ -94,7 +94,7 @@
   }
 
   private void report(int running, int waiting) {
-    engine().onLoad(load(running, waiting), LONG_LEADING_MS);
+    engine().onLoadReport(load(running, waiting), NOW_MS);
   }
 
   private static EngineLoadReport load(int running, int waiting) {
@@ -102,44 +102,44 @@
   }
 
   private void startItems() {
-    scheduler.startItems(runs, view, this::start, LONG_LEADING_MS);
+    scheduler.startItems(runs, view, this::start, NOW_MS);
   }
 
   private void start(ItemRun run, EngineState on, double relativePace) {
     started.add(run.item.id());
-    on.onStart(LONG_LEADING_MS);
-    run.onStart(new ItemStream(-1, outcome -> {}), on, relativePace, LONG_LEADING_MS);
+    on.onStart(NOW_MS);
+    run.onStart(new ItemStream(-1, outcome -> {}), on, relativePace, NOW_MS);
   }
 
   @Test
-  void urgentItemsStartFirstAndOverdueOnesLast() {
+  void urgentFirstLateLast() {
     report(0, 0);
     startItems();
     assertThat(started).containsExactly("urgent", "patient", "overdue");
   }
 
   @Test
-  void itemsStartWhileASlotBesideTheLastOneIsFree() {
+  void lastSlotStaysFree() {
     report(5, 0);
     startItems();
     assertThat(started).containsExactly("urgent", "patient");
   }
 
   @Test
-  void nothingStartsBeforeTheEngineHasToldItsLoad() {
-    scheduler.onLeading(LONG_LEADING_MS - 100);
+  void waitsForFirstLoadReport() {
+    scheduler.onLeadershipGained(NOW_MS - 100);
     startItems();
     assertThat(started).isEmpty();
   }
 
   @Test
-  void itemsMakeRoomForAsManyRequestsAsWaitThoseThatStartLastFirst() {
+  void leastUrgentItemsYieldFirst() {
     report(0, 0);
     startItems();
-    assertThat(scheduler.yielding(runs, engine(), load(8, 0), LONG_LEADING_MS)).isEmpty();
-    assertThat(scheduler.yielding(runs, engine(), load(8, 2), LONG_LEADING_MS))
+    assertThat(scheduler.itemsToYield(runs, engine(), load(8, 0), NOW_MS)).isEmpty();
+    assertThat(scheduler.itemsToYield(runs, engine(), load(8, 2), NOW_MS))
         .extracting(run -> run.item.id())
         .containsExactly("overdue", "patient");
-    assertThat(scheduler.yielding(runs, engine(), load(8, 9), LONG_LEADING_MS)).hasSize(3);
+    assertThat(scheduler.itemsToYield(runs, engine(), load(8, 9), NOW_MS)).hasSize(3);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemSlack.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemSlack.java
@@ -19,8 +19,8 @@
 class TestItemSlack {
   private static final long TARGET_MS = 18_000;
   private static final long OUTPUT_TOKENS = 1_000;
-  private static final int WHOLE_ITEMS = 400;
-  private static final double SLOW = 2.7;
+  private static final int COMPLETED_ITEMS = 400;
+  private static final double SLOW_PACE = 2.7;
 
   private final BatchStateMachine machine = new BatchStateMachine();
   private final BatchItem item = new BatchItem("i", "/p", Map.of(), new byte[0], 100, 1_000);
@@ -31,10 +31,10 @@
     SubmitBatch job = new SubmitBatch("j", "", "r", "h", List.of(item), 3, TARGET_MS, 60_000, 0);
     machine.apply(new CommandEnvelope("", 0, 1, job));
     logTimeMs = run().job.submittedAtMs();
-    for (int i = 0; i < WHOLE_ITEMS; i++) {
+    for (int i = 0; i < COMPLETED_ITEMS; i++) {
       ItemRun whole = run();
-      whole.onStart(new ItemStream(-1, outcome -> {}), engine(), SLOW, 0);
-      slack.onWhole(whole, Math.round(3_400 * SLOW));
+      whole.onStart(new ItemStream(-1, outcome -> {}), engine(), SLOW_PACE, 0);
+      slack.onItemCompleted(whole, Math.round(3_400 * SLOW_PACE));
     }
   }
 
@@ -49,43 +49,43 @@
   }
 
   @Test
-  void runTimesAreLearntAsOnAUsualEngine() {
+  void runTimesAreNormalizedByPace() {
     assertThat(item.outputTokens()).isEqualTo(OUTPUT_TOKENS);
-    assertThat(slack.ofMs(run(), 0)).isBetween(14_590L, 14_610L);
-    assertThat(slack.ofMs(run(), SLOW, 0)).isBetween(8_810L, 8_830L);
+    assertThat(slack.slackMs(run(), 0)).isBetween(14_590L, 14_610L);
+    assertThat(slack.slackMs(run(), SLOW_PACE, 0)).isBetween(8_810L, 8_830L);
   }
 
   @Test
-  void itemThatTurnsOutTooLateWhereItRunsIsInTimeElsewhere() {
+  void lateItemCanBeOnTimeElsewhere() {
     ItemRun run = run();
     run.onStart(new ItemStream(-1, outcome -> {}), engine(), 1, 0);
     logTimeMs += TARGET_MS - 6_000;
-    assertThat(slack.isInTimeElsewhere(run, 0)).as("not known to be slow").isFalse();
-    run.onPace(SLOW);
-    assertThat(slack.isInTimeElsewhere(run, 0)).isTrue();
+    assertThat(slack.canBeOnTimeElsewhere(run, 0)).as("not known to be slow").isFalse();
+    run.setRelativePace(SLOW_PACE);
+    assertThat(slack.canBeOnTimeElsewhere(run, 0)).isTrue();
     logTimeMs += 2_500;
-    assertThat(slack.isInTimeElsewhere(run, 0)).as("too late for a move").isFalse();
+    assertThat(slack.canBeOnTimeElsewhere(run, 0)).as("too late for a move").isFalse();
   }
 
   @Test
-  void itemThatIsNearlyWholeWhenALeaderTakesItOverCanWait() {
+  void inheritedEventsReduceUrgency() {
     BatchProgress progress = new BatchProgress("j", "i", -1, 99, "recorded");
     machine.apply(new CommandEnvelope("", 0, 2, new RecordBatchProgress(List.of(progress))));
     logTimeMs += TARGET_MS - 5_000;
     for (int i = 0; i < 30; i++) {
-      teachEventTime();
+      recordEventTime();
     }
-    assertThat(slack.ofMs(run(), 0)).as("600 of 3,400 ms are left").isBetween(4_300L, 4_500L);
-    assertThat(slack.urgency(run(), 0)).isEqualTo(ItemUrgency.PATIENT);
+    assertThat(slack.slackMs(run(), 0)).as("600 of 3,400 ms are left").isBetween(4_300L, 4_500L);
+    assertThat(slack.urgency(run(), 0)).isEqualTo(ItemUrgency.DEFERRABLE);
   }
 
   /** 25 events in 700 ms. */
-  private void teachEventTime() {
+  private void recordEventTime() {
     ItemRun other = run();
     other.onStart(new ItemStream(99, outcome -> {}), engine(), 1, 0);
-    other.keep(new ItemEvents(99, 100, "first"));
+    other.appendEvents(new ItemEvents(99, 100, "first"));
     slack.onEvents(other, 100);
-    other.keep(new ItemEvents(100, 125, "more"));
+    other.appendEvents(new ItemEvents(100, 125, "more"));
     slack.onEvents(other, 800);
   }
 }
