--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestJobSubmissions.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestJobSubmissions.java
@@ -32,7 +32,7 @@
   private static final int MEMBER = 1;
   private static final long FILE_BYTES = 1 << 20;
   private static final int COPIES = 5;
-  private static final long PATIENCE_S = 10;
+  private static final long TIMEOUT_S = 10;
 
   @TempDir Path folder;
   private ReplicaHost host;
@@ -51,13 +51,14 @@
   @BeforeEach
   void startGroupOfOne() throws Exception {
     BatchStateMachine state = new BatchStateMachine();
-    JoinSettings join = new JoinSettings(Set.of(MEMBER), Set.of(), "", MembershipPolicy.openFor(0));
+    JoinSettings join =
+        new JoinSettings(Set.of(MEMBER), Set.of(), "", MembershipPolicy.openTolerating(0));
     ReplicaHost.Options options =
         new ReplicaHost.Options(GROUP, MEMBER, join, state, FILE_BYTES, FILE_BYTES);
     host = ReplicaHost.open(options, DataFolder.open(folder).value(), new NoPeers()).value();
     submissions = new JobSubmissions(host.group(), state, host.clock());
     host.start(nowMs -> {});
-    while (!onDuty(() -> host.group().isLeading())) {
+    while (!onConsensusThread(() -> host.group().isLeading())) {
       Thread.sleep(20);
     }
   }
@@ -67,7 +68,7 @@
     host.close();
   }
 
-  private <T> T onDuty(java.util.concurrent.Callable<T> action) throws Exception {
+  private <T> T onConsensusThread(java.util.concurrent.Callable<T> action) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
     host.execute(
         () -> {
@@ -77,7 +78,7 @@
             result.completeExceptionally(e);
           }
         });
-    return result.get(PATIENCE_S, TimeUnit.SECONDS);
+    return result.get(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   private static SubmitBatch job() {
@@ -90,7 +91,7 @@
     for (int copy = 0; copy < COPIES; copy++) {
       answers.add(new CompletableFuture<>());
     }
-    onDuty(
+    onConsensusThread(
         () -> {
           answers.forEach(answer -> submissions.submit(job(), answer::complete));
           return null;
@@ -100,23 +101,23 @@
 
   private static void assertAccepted(List<CompletableFuture<Message>> answers) throws Exception {
     for (CompletableFuture<Message> answer : answers) {
-      assertThat(answer.get(PATIENCE_S, TimeUnit.SECONDS))
+      assertThat(answer.get(TIMEOUT_S, TimeUnit.SECONDS))
           .isEqualTo(new ProposeReply(new BatchAccepted("job")));
     }
   }
 
   @Test
-  void copiesThatComeTogetherAreAppendedOnce() throws Exception {
-    long before = onDuty(() -> host.group().replica().lastIndex());
+  void appendsConcurrentCopiesOnce() throws Exception {
+    long before = onConsensusThread(() -> host.group().replica().lastIndex());
     assertAccepted(submitCopies());
-    assertThat(onDuty(() -> host.group().replica().lastIndex())).isEqualTo(before + 1);
+    assertThat(onConsensusThread(() -> host.group().replica().lastIndex())).isEqualTo(before + 1);
   }
 
   @Test
-  void copiesOfAnAcceptedJobAreNotAppended() throws Exception {
+  void doesNotAppendAcceptedJobAgain() throws Exception {
     assertAccepted(submitCopies());
-    long accepted = onDuty(() -> host.group().replica().lastIndex());
+    long accepted = onConsensusThread(() -> host.group().replica().lastIndex());
     assertAccepted(submitCopies());
-    assertThat(onDuty(() -> host.group().replica().lastIndex())).isEqualTo(accepted);
+    assertThat(onConsensusThread(() -> host.group().replica().lastIndex())).isEqualTo(accepted);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestLoadPolls.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestLoadPolls.java
@@ -16,8 +16,8 @@
   private static final long SPAN_MS = 6_000;
 
   private final EngineTable engines = new EngineTable(REPORT_HALF_LIFE_MS);
-  private final List<String> asked = new ArrayList<>();
-  private final LoadPolls polls = new LoadPolls(engine -> asked.add(engine.id()));
+  private final List<String> polled = new ArrayList<>();
+  private final LoadPolls polls = new LoadPolls(engine -> polled.add(engine.id()));
 
   private static EngineInstance engine(String id, boolean draining) {
     return new EngineInstance(id, "s", "h:1", "z", 12, draining);
@@ -34,33 +34,33 @@
     engines.find("leaving").onStart(0);
   }
 
-  private void pass(boolean itemsWait) {
+  private void pollForSpan(boolean itemsWait) {
     for (long nowMs = 0; nowMs < SPAN_MS; nowMs += STEP_MS) {
       polls.onStep(engines.all(), itemsWait, nowMs);
     }
   }
 
-  private long timesAsked(String id) {
-    return asked.stream().filter(id::equals).count();
+  private long pollCount(String id) {
+    return polled.stream().filter(id::equals).count();
   }
 
   @Test
-  void engineWithItemsIsAskedMoreOften() {
-    pass(true);
-    assertThat(timesAsked("busy")).isEqualTo(SPAN_MS / LoadPolls.RUNNING_INTERVAL_MS);
-    assertThat(timesAsked("idle")).isEqualTo(SPAN_MS / LoadPolls.OTHER_INTERVAL_MS);
+  void pollsBusyEnginesMoreOften() {
+    pollForSpan(true);
+    assertThat(pollCount("busy")).isEqualTo(SPAN_MS / LoadPolls.BUSY_INTERVAL_MS);
+    assertThat(pollCount("idle")).isEqualTo(SPAN_MS / LoadPolls.IDLE_INTERVAL_MS);
   }
 
   @Test
-  void engineWithoutItemsIsNotAskedUnlessItemsWait() {
-    pass(false);
-    assertThat(timesAsked("busy")).isPositive();
-    assertThat(timesAsked("idle")).isZero();
+  void pollsIdleEnginesOnlyForWaitingItems() {
+    pollForSpan(false);
+    assertThat(pollCount("busy")).isPositive();
+    assertThat(pollCount("idle")).isZero();
   }
 
   @Test
-  void engineThatLeavesIsNotAsked() {
-    pass(true);
-    assertThat(timesAsked("leaving")).isZero();
+  void doesNotPollDrainingEngine() {
+    pollForSpan(true);
+    assertThat(pollCount("leaving")).isZero();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestRunTimeEstimate.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestRunTimeEstimate.java
@@ -8,40 +8,40 @@
   private final RunTimeEstimate estimate = new RunTimeEstimate();
 
   @Test
-  void longerOutputsRunLonger() {
+  void longerOutputsTakeLonger() {
     assertThat(estimate.remainingMs(3_000, 0)).isGreaterThan(estimate.remainingMs(300, 0));
   }
 
   @Test
-  void timeThatAnItemRanCounts() {
+  void elapsedTimeReducesRemainder() {
     long wholeMs = estimate.remainingMs(1_000, 0);
     assertThat(estimate.remainingMs(1_000, 500)).isEqualTo(wholeMs - 500);
     assertThat(estimate.remainingMs(1_000, wholeMs + 10_000)).isZero();
   }
 
   @Test
-  void estimateFollowsTheItemsThatBecameWhole() {
+  void estimateFollowsCompletedItems() {
     for (int i = 0; i < 200; i++) {
-      estimate.onWhole(1_000, 9_000);
+      estimate.onItemCompleted(1_000, 9_000);
     }
     assertThat(estimate.remainingMs(2_000, 0)).isBetween(17_500L, 18_000L);
   }
 
   @Test
-  void itemsWithoutStatedOutputHaveADefaultAndTeachNothing() {
+  void unknownOutputUsesDefault() {
     long before = estimate.remainingMs(1_000, 0);
-    estimate.onWhole(0, 60_000);
+    estimate.onItemCompleted(0, 60_000);
     assertThat(estimate.remainingMs(1_000, 0)).isEqualTo(before);
     assertThat(estimate.remainingMs(0, 0)).isPositive();
   }
 
   @Test
-  void eventsCountAsTheTimeThatTheyTook() {
-    assertThat(estimate.ofEventsMs(100)).as("a token each at least").isEqualTo(400);
+  void eventTimeFollowsSamples() {
+    assertThat(estimate.eventsMs(100)).as("a token each at least").isEqualTo(400);
     for (int i = 0; i < 30; i++) {
       estimate.onEvents(25, 700);
     }
     estimate.onEvents(0, 700);
-    assertThat(estimate.ofEventsMs(100)).isBetween(2_780L, 2_800L);
+    assertThat(estimate.eventsMs(100)).isBetween(2_780L, 2_800L);
   }
 }
--- a/serving/src/main/java/io/pathdeck/serving/api/BatchesApi.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/BatchesApi.java
@@ -152,7 +152,7 @@
     void reserve(String key) {
       String tenant = caller.tenant().name();
       int partition =
-          PartitionIds.partitionFor(tenant + "/" + key, caller.configuration().partitions());
+          PartitionIds.partitionForKey(tenant + "/" + key, caller.configuration().partitions());
       String value = newJobId() + " " + request.inputFileId();
       ReserveKey command = new ReserveKey(tenant, key, request.fingerprint(), value);
       controllers.propose(partition, command, TIMEOUT_MS).thenAccept(this::onReserved);
--- a/serving/src/main/java/io/pathdeck/serving/api/CompletionApi.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/CompletionApi.java
@@ -108,7 +108,7 @@
     String claimKey = caller.tenant().name() + "/" + key;
     ClaimService.Claim claim =
         new ClaimService.Claim(
-            PartitionIds.partitionFor(claimKey, caller.configuration().partitions()),
+            PartitionIds.partitionForKey(claimKey, caller.configuration().partitions()),
             claimKey,
             caller.tenant().name(),
             fingerprint(exchange),
--- a/serving/src/main/java/io/pathdeck/serving/api/FilesApi.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/FilesApi.java
@@ -74,7 +74,7 @@
     int partitions = caller.configuration().partitions();
     if (idempotencyKey == null) {
       UUID random = UUID.randomUUID();
-      int partition = PartitionIds.partitionFor(random.toString(), partitions);
+      int partition = PartitionIds.partitionForKey(random.toString(), partitions);
       return PartitionIds.create(
           FILE_PREFIX,
           partition,
@@ -82,7 +82,7 @@
           random.getLeastSignificantBits());
     }
     String key = caller.tenant().name() + "/" + idempotencyKey;
-    int partition = PartitionIds.partitionFor(key, partitions);
+    int partition = PartitionIds.partitionForKey(key, partitions);
     return PartitionIds.create(
         FILE_PREFIX, partition, PartitionIds.hash(key), PartitionIds.hash("file/" + key));
   }
--- a/state/src/main/java/io/pathdeck/state/BatchJob.java
+++ b/state/src/main/java/io/pathdeck/state/BatchJob.java
@@ -16,7 +16,7 @@
 public final class BatchJob {
   private final SubmitBatch submission;
   private final long submittedAtMs;
-  private final Map<String, BatchItem> open = new LinkedHashMap<>();
+  private final Map<String, BatchItem> openItems = new LinkedHashMap<>();
   private final Map<String, ItemProgress> progress = new HashMap<>();
   private final List<BatchResult> results = new ArrayList<>();
   private long openTokens;
@@ -26,15 +26,15 @@
     this.submission = submission;
     this.submittedAtMs = submittedAtMs;
     for (BatchItem item : submission.items()) {
-      open.put(item.id(), item);
+      openItems.put(item.id(), item);
       openTokens += item.tokens();
     }
   }
 
   static BatchJob restore(BatchJobRecord saved) {
     BatchJob job = new BatchJob(saved.submission(), saved.submittedAtMs());
-    saved.results().forEach(job::add);
-    saved.progress().forEach(job::record);
+    saved.results().forEach(job::addResult);
+    saved.progress().forEach(job::recordProgress);
     job.ended = saved.ended();
     return job;
   }
@@ -46,10 +46,10 @@
   }
 
   /** Records events of an open item; returns whether they follow what is recorded. */
-  boolean record(BatchProgress events) {
+  boolean recordProgress(BatchProgress events) {
     ItemProgress before = progress(events.itemId());
     boolean follows = events.afterEvent() == before.lastEvent();
-    if (!open.containsKey(events.itemId()) || !follows) {
+    if (!openItems.containsKey(events.itemId()) || !follows) {
       return false;
     }
     progress.put(events.itemId(), before.plus(events.lastEvent(), events.text()));
@@ -60,25 +60,25 @@
    * Lists an outcome; returns whether the item has one afterwards. The text of a whole item must
    * follow what is recorded.
    */
-  boolean list(BatchOutcome outcome) {
-    if (!open.containsKey(outcome.itemId())) {
+  boolean addOutcome(BatchOutcome outcome) {
+    if (!openItems.containsKey(outcome.itemId())) {
       return true;
     }
     ItemProgress before = progress(outcome.itemId());
     if (!outcome.done()) {
-      add(new BatchResult(outcome.itemId(), false, ""));
+      addResult(new BatchResult(outcome.itemId(), false, ""));
       return true;
     }
     if (outcome.afterEvent() != before.lastEvent()) {
       return false;
     }
     String text = ItemProgress.join(before.text(), outcome.text());
-    add(new BatchResult(outcome.itemId(), true, text));
+    addResult(new BatchResult(outcome.itemId(), true, text));
     return true;
   }
 
-  private void add(BatchResult result) {
-    BatchItem item = open.remove(result.itemId());
+  private void addResult(BatchResult result) {
+    BatchItem item = openItems.remove(result.itemId());
     progress.remove(result.itemId());
     openTokens -= item.tokens();
     results.add(result);
@@ -110,8 +110,8 @@
   }
 
   /** The items without a result, in the order of the submission. */
-  public Map<String, BatchItem> open() {
-    return open;
+  public Map<String, BatchItem> openItems() {
+    return openItems;
   }
 
   /** What is recorded of an open item. */
@@ -136,7 +136,7 @@
 
   /** Whether anything of it may still run. */
   public boolean isActive() {
-    return !ended && !open.isEmpty();
+    return !ended && !openItems.isEmpty();
   }
 
   /** The tokens of items that wait; none once the job has ended. */
--- a/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
@@ -46,7 +46,7 @@
   /** How long a job that has nothing left to do is kept after its submission, in log time. */
   static final long MIN_RETENTION_MS = 180_000;
 
-  private final LogicalClock clock = new LogicalClock();
+  private final LogClock clock = new LogClock();
   private final Map<String, BatchJob> jobs = new LinkedHashMap<>();
 
   /** The job with this id. */
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public boolean waitsForTime() {
+  public boolean needsTimeAdvance() {
     return !jobs.isEmpty();
   }
 
@@ -78,13 +78,13 @@
       return submit(submit, nowMs);
     }
     if (command instanceof RecordBatchProgress progress) {
-      return record(progress);
+      return recordProgress(progress);
     }
     if (command instanceof ListBatchResults list) {
-      return list(list);
+      return addOutcomes(list);
     }
     if (command instanceof EndBatch end) {
-      return end(end);
+      return endJob(end);
     }
     if (command instanceof AdvanceTime) {
       return new Done();
@@ -124,32 +124,32 @@
     return tokens;
   }
 
-  private CommandResult record(RecordBatchProgress command) {
+  private CommandResult recordProgress(RecordBatchProgress command) {
     for (BatchProgress events : command.progress()) {
       BatchJob job = jobs.get(events.jobId());
       if (job != null) {
-        job.record(events);
+        job.recordProgress(events);
       }
     }
     return new Done();
   }
 
-  private CommandResult list(ListBatchResults list) {
+  private CommandResult addOutcomes(ListBatchResults list) {
     BatchJob job = jobs.get(list.jobId());
     if (job == null) {
       return new Rejected(RejectionCode.NOT_FOUND, "no job " + list.jobId());
     }
     boolean allListed = true;
     for (BatchOutcome outcome : list.outcomes()) {
-      allListed &= job.list(outcome);
+      allListed &= job.addOutcome(outcome);
     }
     return allListed
         ? new Done()
         : new Rejected(RejectionCode.CONFLICT, "the text does not follow what is recorded");
   }
 
-  private CommandResult end(EndBatch end) {
-    BatchJob job = jobOf(end.tenant(), end.jobId());
+  private CommandResult endJob(EndBatch end) {
+    BatchJob job = visibleJob(end.tenant(), end.jobId());
     if (job == null) {
       return new Rejected(RejectionCode.NOT_FOUND, "no job " + end.jobId());
     }
@@ -169,13 +169,13 @@
   }
 
   /** The job of this id; null when there is none, or when it is another tenant's. */
-  private BatchJob jobOf(String tenant, String jobId) {
+  private BatchJob visibleJob(String tenant, String jobId) {
     BatchJob job = jobs.get(jobId);
     return job != null && job.belongsTo(tenant) ? job : null;
   }
 
   private QueryResult readResults(ReadBatchResults read) {
-    BatchJob job = jobOf(read.tenant(), read.jobId());
+    BatchJob job = visibleJob(read.tenant(), read.jobId());
     if (job == null) {
       return new BatchMissing();
     }
@@ -193,8 +193,8 @@
   }
 
   private QueryResult readItem(ReadBatchItem read) {
-    BatchJob job = jobOf(read.tenant(), read.jobId());
-    BatchItem item = job == null ? null : job.open().get(read.itemId());
+    BatchJob job = visibleJob(read.tenant(), read.jobId());
+    BatchItem item = job == null ? null : job.openItems().get(read.itemId());
     return item == null ? new BatchMissing() : new BatchItemBody(item.body());
   }
 
--- a/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
@@ -43,16 +43,16 @@
   /** About 60 bytes each; the oldest give way, so that a flood of them stays within 32 KB. */
   private static final int MAX_QUARANTINED = 512;
 
-  private final LogicalClock clock = new LogicalClock();
-  private RouteTable table;
+  private final LogClock clock = new LogClock();
+  private RouteTable routeTable;
   private List<JobsGroupFounders> jobsFounders = List.of();
-  private final Map<Integer, SetStoreLeaving> leaving = new LinkedHashMap<>();
+  private final Map<Integer, SetStoreLeaving> leavingStores = new LinkedHashMap<>();
   private final LinkedHashSet<RequestFingerprint> quarantined = new LinkedHashSet<>();
   private long quarantineVersion;
 
   /** The configuration held; empty before the first one. */
-  public Optional<RouteTable> table() {
-    return Optional.ofNullable(table);
+  public Optional<RouteTable> routeTable() {
+    return Optional.ofNullable(routeTable);
   }
 
   /** The groups that keep batch jobs with their first members; none before they were founded. */
@@ -61,8 +61,8 @@
   }
 
   /** The stores that are being emptied. */
-  public List<SetStoreLeaving> leaving() {
-    return List.copyOf(leaving.values());
+  public List<SetStoreLeaving> leavingStores() {
+    return List.copyOf(leavingStores.values());
   }
 
   /** The requests that must not reach engines, the oldest first. */
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public boolean waitsForTime() {
+  public boolean needsTimeAdvance() {
     return false;
   }
 
@@ -104,7 +104,7 @@
       return new Done();
     }
     if (command instanceof SetStoreLeaving store) {
-      leaving.put(store.memberId(), store);
+      leavingStores.put(store.memberId(), store);
       return new Done();
     }
     if (command instanceof QuarantineRequests added) {
@@ -131,16 +131,16 @@
   }
 
   private CommandResult putRouteTable(RouteTable sent) {
-    if (table == null || sent.version() > table.version()) {
-      table = sent;
+    if (routeTable == null || sent.version() > routeTable.version()) {
+      routeTable = sent;
     }
-    return new RouteTableHeld(table.version());
+    return new RouteTableHeld(routeTable.version());
   }
 
   @Override
   public QueryResult query(Query query) {
     if (query instanceof ReadRouteTable) {
-      return new RouteTableResult(table);
+      return new RouteTableResult(routeTable);
     }
     return new NotFound("not a query of the fleet group");
   }
@@ -151,16 +151,16 @@
     records.add(
         new FleetRecord(
             clock.nowMs(),
-            table,
+            routeTable,
             new ArrayList<>(jobsFounders),
-            new ArrayList<>(leaving.values())));
+            new ArrayList<>(leavingStores.values())));
     records.add(new QuarantineRecord(quarantine()));
     return records.iterator();
   }
 
   @Override
   public void restoreSnapshot(Iterator<Object> records) {
-    leaving.clear();
+    leavingStores.clear();
     quarantined.clear();
     quarantineVersion = QuarantineList.NONE.version();
     while (records.hasNext()) {
@@ -171,9 +171,9 @@
       }
       if (record instanceof FleetRecord fleet) {
         clock.restore(fleet.clockMs());
-        table = fleet.table();
+        routeTable = fleet.table();
         jobsFounders = List.copyOf(fleet.jobsFounders());
-        fleet.leaving().forEach(store -> leaving.put(store.memberId(), store));
+        fleet.leaving().forEach(store -> leavingStores.put(store.memberId(), store));
       }
     }
   }
--- a/state/src/main/java/io/pathdeck/state/KeyTable.java
+++ b/state/src/main/java/io/pathdeck/state/IdempotencyKeyTable.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** Idempotency keys of submissions and the values they are bound to. */
-final class KeyTable {
+final class IdempotencyKeyTable {
   /** How long a key stays bound, in log time; as long as jobs are kept. */
   static final long RETENTION_MS = JobsStateMachine.RETENTION_MS;
 
--- a/state/src/main/java/io/pathdeck/state/Job.java
+++ b/state/src/main/java/io/pathdeck/state/Job.java
@@ -102,7 +102,7 @@
   }
 
   /** A leased item's lease ended without a result: it waits again. */
-  void returnItem(int index) {
+  void requeueItem(int index) {
     leased--;
     if (!status.isTerminal() && results[index] == null) {
       waiting.set(index);
@@ -119,11 +119,11 @@
    *
    * @return whether the result was stored
    */
-  boolean store(int index, byte[] line, boolean success, long nowMs) {
+  boolean storeResult(int index, byte[] line, boolean success, long nowMs) {
     if (status.isTerminal() || index < 0 || index >= results.length || results[index] != null) {
       return false;
     }
-    record(index, line, success);
+    setResult(index, line, success);
     waiting.clear(index);
     if (succeeded + failed == results.length) {
       finish(JobStatus.COMPLETED, nowMs);
@@ -132,7 +132,7 @@
   }
 
   /** Stores a result without any transition, while a snapshot is restored. */
-  void record(int index, byte[] line, boolean success) {
+  void setResult(int index, byte[] line, boolean success) {
     results[index] = line;
     waiting.clear(index);
     if (success) {
--- a/state/src/main/java/io/pathdeck/state/JobQueues.java
+++ b/state/src/main/java/io/pathdeck/state/JobQueues.java
@@ -16,7 +16,7 @@
  */
 final class JobQueues {
   /** The most items taken from one job in its turn. */
-  private static final int SLICE = 8;
+  private static final int MAX_ITEMS_PER_TURN = 8;
 
   private final Map<String, Map<String, ArrayDeque<Job>>> byService = new TreeMap<>();
 
@@ -44,7 +44,7 @@
       if (job == null) {
         break;
       }
-      takeSlice(job, Math.min(SLICE, maxItems - taken.size()), taken);
+      takeItems(job, Math.min(MAX_ITEMS_PER_TURN, maxItems - taken.size()), taken);
       jobs.addLast(jobs.pollFirst());
       rotate(tenants, next);
     }
@@ -72,7 +72,7 @@
     return null;
   }
 
-  private static void takeSlice(Job job, int count, List<Taken> taken) {
+  private static void takeItems(Job job, int count, List<Taken> taken) {
     for (int i = 0; i < count && job.hasWaiting(); i++) {
       taken.add(new Taken(job, job.takeWaiting()));
     }
--- a/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
+++ b/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
@@ -34,7 +34,7 @@
     for (Job job : state.jobs.values()) {
       captureJob(job, records);
     }
-    for (LeaseTable.Lease lease : state.leases.all()) {
+    for (LeaseTable.Lease lease : state.leases.leases()) {
       records.add(
           new LeaseRecord(
               lease.leaseId, lease.dispatcherId, lease.expiresAtMs, new ArrayList<>(lease.items)));
@@ -109,7 +109,7 @@
   private static void restoreResults(Job job, ResultRecord results) {
     for (int i = 0; i < results.lines().size(); i++) {
       if (results.lines().get(i) != null) {
-        job.record(results.firstIndex() + i, results.lines().get(i), results.successes().get(i));
+        job.setResult(results.firstIndex() + i, results.lines().get(i), results.successes().get(i));
       }
     }
   }
--- a/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
@@ -51,12 +51,12 @@
 
   private static final long SWEEP_INTERVAL_MS = 1_000;
 
-  final LogicalClock clock = new LogicalClock();
+  final LogClock clock = new LogClock();
   final Map<String, StoredFile> files = new LinkedHashMap<>();
   final Map<String, Job> jobs = new LinkedHashMap<>();
   final LeaseTable leases = new LeaseTable();
   final ClaimTable claims = new ClaimTable();
-  final KeyTable keys = new KeyTable();
+  final IdempotencyKeyTable keys = new IdempotencyKeyTable();
   final JobQueues queues = new JobQueues();
   private final JobsQueries queries = new JobsQueries(this);
   long nextSweepMs;
@@ -67,8 +67,8 @@
   }
 
   @Override
-  public boolean waitsForTime() {
-    return !leases.all().isEmpty();
+  public boolean needsTimeAdvance() {
+    return !leases.leases().isEmpty();
   }
 
   @Override
@@ -257,7 +257,7 @@
       if (leases.remove(result.leaseId(), new ItemRef(result.jobId(), result.index()))) {
         job.endLease();
       }
-      if (job.store(result.index(), result.line(), result.success(), nowMs)) {
+      if (job.storeResult(result.index(), result.line(), result.success(), nowMs)) {
         stored++;
       }
     }
@@ -268,7 +268,7 @@
     for (ItemRef item : command.items()) {
       Job job = jobs.get(item.jobId());
       if (job != null && leases.remove(command.leaseId(), item)) {
-        job.returnItem(item.index());
+        job.requeueItem(item.index());
       }
     }
     return new Done();
@@ -282,10 +282,11 @@
           continue;
         }
         if (job.spec().repeatable()) {
-          job.returnItem(item.index());
+          job.requeueItem(item.index());
         } else {
           job.endLease();
-          job.store(item.index(), OutcomeUnknown.line(job, item.index()), false, nowMs);
+          job.storeResult(
+              item.index(), OutcomeUnknownResult.resultLine(job, item.index()), false, nowMs);
         }
       }
     }
--- a/state/src/main/java/io/pathdeck/state/LeaseTable.java
+++ b/state/src/main/java/io/pathdeck/state/LeaseTable.java
@@ -89,7 +89,7 @@
     return dropped;
   }
 
-  Collection<Lease> all() {
+  Collection<Lease> leases() {
     return leases.values();
   }
 
--- a/state/src/main/java/io/pathdeck/state/LogicalClock.java
+++ b/state/src/main/java/io/pathdeck/state/LogClock.java
@@ -1,7 +1,7 @@
 package io.pathdeck.state;
 
 /** A clock that only moves forward, by the proposal times in the log. */
-final class LogicalClock {
+final class LogClock {
   private long nowMs;
 
   long advance(long proposedAtMs) {
--- a/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
@@ -33,7 +33,7 @@
   private static final DeclarationDelta NO_REMOVALS =
       new DeclarationDelta(Declaration.EMPTY, List.of(), List.of(), List.of());
 
-  private final LogicalClock clock = new LogicalClock();
+  private final LogClock clock = new LogClock();
   private final DedupTable dedup = new DedupTable();
   private final DeclarationStore store = new DeclarationStore();
   private final TreeMap<Long, DeclarationDelta> deltas = new TreeMap<>();
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public boolean waitsForTime() {
+  public boolean needsTimeAdvance() {
     return false;
   }
 
--- a/state/src/main/java/io/pathdeck/state/OutcomeUnknown.java
+++ b/state/src/main/java/io/pathdeck/state/OutcomeUnknownResult.java
@@ -8,12 +8,12 @@
 import java.io.UncheckedIOException;
 
 /** The result line of an item that may have run and must not run again. */
-final class OutcomeUnknown {
+final class OutcomeUnknownResult {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  private OutcomeUnknown() {}
+  private OutcomeUnknownResult() {}
 
-  static byte[] line(Job job, int index) {
+  static byte[] resultLine(Job job, int index) {
     ObjectNode result = MAPPER.createObjectNode();
     result.put("id", job.spec().jobId() + "-" + index);
     result.set("custom_id", customId(job.itemLine(index)));
--- a/state/src/main/java/io/pathdeck/state/PartitionIds.java
+++ b/state/src/main/java/io/pathdeck/state/PartitionIds.java
@@ -33,7 +33,7 @@
   }
 
   /** The partition that a key belongs to. */
-  public static int partitionFor(String key, int partitions) {
+  public static int partitionForKey(String key, int partitions) {
     return 1 + (int) Long.remainderUnsigned(HASH.hashChars(key), partitions);
   }
 
--- a/state/src/main/java/io/pathdeck/state/StateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/StateMachine.java
@@ -20,7 +20,7 @@
   CommandResult apply(CommandEnvelope envelope);
 
   /** Whether something will expire, so that time must pass even without commands. */
-  boolean waitsForTime();
+  boolean needsTimeAdvance();
 
   /** Answers a read from the applied state. */
   QueryResult query(Query query);
--- a/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
@@ -32,53 +32,53 @@
   private static final String JOB = "j";
   private static final String ITEM = "i";
   private static final long LAST_EVENT = 9;
-  private static final int ACTIONS_OF_A_LEADER = 5;
+  private static final int ACTIONS_PER_LEADER = 5;
 
   private BatchStateMachine machine;
 
   /** A leader: where it stands, and what it has proposed and not yet seen taken or lost. */
   private final class Leader {
     private final Deque<Command> proposed = new ArrayDeque<>();
-    private long recorded;
-    private long held;
-    private boolean decided;
-
-    void begin() {
-      recorded = machine.job(JOB).orElseThrow().progress(ITEM).lastEvent();
-      held = recorded;
-      decided = false;
+    private long recordedEvent;
+    private long receivedEvent;
+    private boolean resultProposed;
+
+    void resume() {
+      recordedEvent = machine.job(JOB).orElseThrow().progress(ITEM).lastEvent();
+      receivedEvent = recordedEvent;
+      resultProposed = false;
     }
 
     void receive() {
-      held = Math.min(LAST_EVENT, held + 2);
+      receivedEvent = Math.min(LAST_EVENT, receivedEvent + 2);
     }
 
     void propose() {
-      if (decided) {
+      if (resultProposed) {
         return;
       }
-      String text = text(recorded, held);
-      if (held == LAST_EVENT) {
-        decided = true;
-        BatchOutcome outcome = new BatchOutcome(ITEM, true, recorded, text);
+      String text = text(recordedEvent, receivedEvent);
+      if (receivedEvent == LAST_EVENT) {
+        resultProposed = true;
+        BatchOutcome outcome = new BatchOutcome(ITEM, true, recordedEvent, text);
         proposed.add(new ListBatchResults(JOB, List.of(outcome)));
-      } else if (held > recorded) {
-        BatchProgress progress = new BatchProgress(JOB, ITEM, recorded, held, text);
+      } else if (receivedEvent > recordedEvent) {
+        BatchProgress progress = new BatchProgress(JOB, ITEM, recordedEvent, receivedEvent, text);
         proposed.add(new RecordBatchProgress(List.of(progress)));
-        recorded = held;
+        recordedEvent = receivedEvent;
       }
     }
 
-    void take() {
+    void applyNext() {
       if (!proposed.isEmpty()) {
         apply(proposed.poll());
       }
     }
 
     /** What was proposed is lost, and the leader begins again from what is recorded. */
-    void lose() {
+    void loseProposals() {
       proposed.clear();
-      begin();
+      resume();
     }
   }
 
@@ -105,13 +105,13 @@
   }
 
   @Property
-  void resultIsTheWholeTextOrNone(
-      @ForAll @Size(max = 120) List<@IntRange(max = 2 * ACTIONS_OF_A_LEADER - 1) Integer> actions) {
+  void resultIsCompleteOrAbsent(
+      @ForAll @Size(max = 120) List<@IntRange(max = 2 * ACTIONS_PER_LEADER - 1) Integer> actions) {
     submit();
     List<Leader> leaders = List.of(new Leader(), new Leader());
-    leaders.forEach(Leader::begin);
+    leaders.forEach(Leader::resume);
     for (int action : actions) {
-      act(leaders.get(action / ACTIONS_OF_A_LEADER), action % ACTIONS_OF_A_LEADER);
+      act(leaders.get(action / ACTIONS_PER_LEADER), action % ACTIONS_PER_LEADER);
     }
     ItemProgress progress = machine.job(JOB).orElseThrow().progress(ITEM);
     assertThat(progress.text()).isEqualTo(text(-1, progress.lastEvent()));
@@ -121,30 +121,30 @@
   }
 
   @Property
-  void oneLeaderAloneGetsTheItemListed(
-      @ForAll @Size(max = 40) List<@IntRange(max = ACTIONS_OF_A_LEADER - 1) Integer> actions) {
+  void singleLeaderCompletesItem(
+      @ForAll @Size(max = 40) List<@IntRange(max = ACTIONS_PER_LEADER - 1) Integer> actions) {
     submit();
     Leader leader = new Leader();
-    leader.begin();
+    leader.resume();
     actions.forEach(action -> act(leader, action));
     if (results().isEmpty()) {
-      leader.lose();
+      leader.loseProposals();
       for (long event = 0; event <= LAST_EVENT; event++) {
         leader.receive();
       }
       leader.propose();
-      leader.take();
+      leader.applyNext();
     }
     assertThat(results()).containsExactly(new BatchResult(ITEM, true, text(-1, LAST_EVENT)));
   }
 
   private static void act(Leader leader, int action) {
     switch (action) {
-      case 0 -> leader.begin();
+      case 0 -> leader.resume();
       case 1 -> leader.receive();
       case 2 -> leader.propose();
-      case 3 -> leader.take();
-      default -> leader.lose();
+      case 3 -> leader.applyNext();
+      default -> leader.loseProposals();
     }
   }
 }
--- a/state/src/test/java/io/pathdeck/state/TestBatchStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchStateMachine.java
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void itemKeepsItsFirstOutcomeAndPosition() {
+  void itemKeepsFirstOutcomeAndPosition() {
     apply(job("a", 2, 0));
     apply(list("a", "a-1", true, "first"));
     apply(list("a", "a-1", false, ""));
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void quotaCountsOnlyWhatWaits() {
+  void quotaCountsOnlyOpenItems() {
     assertThat(apply(job("a", 3, 500))).isInstanceOf(BatchAccepted.class);
     assertThat(apply(job("b", 3, 500))).isEqualTo(new QuotaExceeded(300, 500));
     apply(list("a", "a-0", true, ""));
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void endedJobFreesItsQuotaAndKeepsItsResults() {
+  void endedJobFreesQuotaAndKeepsResults() {
     apply(job("a", 3, 500));
     apply(list("a", "a-0", true, "x"));
     assertThat(apply(new EndBatch("a", ""))).isInstanceOf(Done.class);
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void bodyIsReadWhileTheItemWaits() {
+  void bodyIsReadableWhileItemIsOpen() {
     apply(job("a", 2, 0));
     BatchItemBody body = (BatchItemBody) machine.query(new ReadBatchItem("a", "", "a-1"));
     assertThat(body.body()).containsExactly(1);
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void openJobIsKeptHoweverOld() {
+  void openJobNeverExpires() {
     apply(job("open", 1, 0));
     apply(job("ended", 1, 0));
     apply(new EndBatch("ended", ""));
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void recordedEventsAreTheBeginningOfTheResult() {
+  void resultStartsWithRecordedEvents() {
     apply(job("a", 1, 0));
     apply(progress("a", "a-0", -1, 4, "one"));
     apply(progress("a", "a-0", 4, 9, "two"));
@@ -159,7 +159,7 @@
   }
 
   @Test
-  void eventsThatDoNotFollowTheRecordedOnesChangeNothing() {
+  void nonContiguousEventsAreIgnored() {
     apply(job("a", 1, 0));
     apply(progress("a", "a-0", -1, 4, "one"));
     apply(progress("a", "a-0", -1, 6, "again"));
@@ -169,17 +169,17 @@
   }
 
   @Test
-  void textThatDoesNotFollowTheRecordedOneIsNoResult() {
+  void nonContiguousResultIsRejected() {
     apply(job("a", 1, 0));
     apply(progress("a", "a-0", -1, 4, "one"));
     assertThat(apply(listAfter(-1, "a", "a-0", true, "whole"))).isInstanceOf(Rejected.class);
     assertThat(apply(listAfter(5, "a", "a-0", true, "rest"))).isInstanceOf(Rejected.class);
     assertThat(read("a", 0).results()).isEmpty();
-    assertThat(machine.job("a").orElseThrow().open()).containsKey("a-0");
+    assertThat(machine.job("a").orElseThrow().openItems()).containsKey("a-0");
   }
 
   @Test
-  void itemIsGivenUpWhateverIsRecorded() {
+  void itemWithProgressCanBeGivenUp() {
     apply(job("a", 1, 0));
     apply(progress("a", "a-0", -1, 4, "one"));
     apply(new ListBatchResults("a", List.of(BatchOutcome.givenUp("a-0"))));
@@ -187,7 +187,7 @@
   }
 
   @Test
-  void progressOfUnknownAndListedItemsIsForgotten() {
+  void progressOfClosedItemsIsIgnored() {
     apply(job("a", 1, 0));
     apply(list("a", "a-0", true, "x"));
     assertThat(apply(progress("a", "a-0", -1, 4, "late"))).isInstanceOf(Done.class);
@@ -213,7 +213,7 @@
     assertThat(restored.timeMs()).isEqualTo(machine.timeMs());
     assertThat(restored.query(new ReadBatchResults("a", "", 0, 1_000, 0)))
         .isEqualTo(machine.query(new ReadBatchResults("a", "", 0, 1_000, 0)));
-    assertThat(restored.job("a").orElseThrow().open()).containsOnlyKeys("a-1");
+    assertThat(restored.job("a").orElseThrow().openItems()).containsOnlyKeys("a-1");
     assertThat(restored.job("a").orElseThrow().progress("a-1").lastEvent()).isEqualTo(3);
     assertThat(restored.job("a").orElseThrow().progress("a-1").text()).isEqualTo("part");
     assertThat(restored.job("b").orElseThrow().isEnded()).isTrue();
--- a/state/src/test/java/io/pathdeck/state/TestFleetStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestFleetStateMachine.java
@@ -41,24 +41,24 @@
             document.getBytes(StandardCharsets.UTF_8)));
   }
 
-  private String held() {
-    return new String(machine.table().orElseThrow().document(), StandardCharsets.UTF_8);
+  private String storedDocument() {
+    return new String(machine.routeTable().orElseThrow().document(), StandardCharsets.UTF_8);
   }
 
   @Test
-  void highestVersionHolds() {
+  void highestVersionWins() {
     assertThat(apply(put(5, "five"))).isEqualTo(new RouteTableHeld(5));
     assertThat(apply(put(3, "three"))).isEqualTo(new RouteTableHeld(5));
-    assertThat(held()).isEqualTo("five");
+    assertThat(storedDocument()).isEqualTo("five");
     assertThat(apply(put(9, "nine"))).isEqualTo(new RouteTableHeld(9));
-    assertThat(held()).isEqualTo("nine");
+    assertThat(storedDocument()).isEqualTo("nine");
   }
 
   @Test
-  void otherContentUnderTheVersionHeldChangesNothing() {
+  void sameVersionDoesNotReplaceTable() {
     apply(put(5, "five"));
     assertThat(apply(put(5, "another"))).isEqualTo(new RouteTableHeld(5));
-    assertThat(held()).isEqualTo("five");
+    assertThat(storedDocument()).isEqualTo("five");
   }
 
   private static JobsGroupFounders founders(Member member) {
@@ -81,13 +81,13 @@
     apply(new SetStoreLeaving("store-1", 1));
     FleetStateMachine restored = new FleetStateMachine();
     restored.restoreSnapshot(machine.captureSnapshot());
-    assertThat(restored.table().orElseThrow().version()).isEqualTo(5);
+    assertThat(restored.routeTable().orElseThrow().version()).isEqualTo(5);
     assertThat(restored.jobsFounders()).isEqualTo(machine.jobsFounders());
-    assertThat(restored.leaving()).containsExactly(new SetStoreLeaving("store-1", 1));
+    assertThat(restored.leavingStores()).containsExactly(new SetStoreLeaving("store-1", 1));
   }
 
   @Test
-  void requestsInQuarantineSurviveASnapshotUntilTheyAreReleased() {
+  void quarantineSurvivesSnapshotUntilReleased() {
     RequestFingerprint first = new RequestFingerprint(1, "first");
     RequestFingerprint second = new RequestFingerprint(2, "second");
     apply(new QuarantineRequests(List.of(first, second)));
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void oldestRequestsInQuarantineGiveWay() {
+  void oldestQuarantinedRequestsAreEvicted() {
     for (int number = 0; number < 600; number++) {
       apply(new QuarantineRequests(List.of(new RequestFingerprint(number, "r" + number))));
     }
--- a/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
@@ -106,7 +106,7 @@
    * The defect behind it: a restored replica leased other items than one that had never stopped.
    */
   @Property(tries = 150, seed = "21")
-  void aRestoredReplicaGoesOnLikeTheOthers(
+  void restoredReplicaMatchesOriginal(
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed,
       @ForAll @IntRange(min = 0, max = 200) int restoredAt) {
     JobsStateMachine whole = new JobsStateMachine();
@@ -133,7 +133,7 @@
 
   /** An item that has a result is never leased again. */
   @Property(tries = 150, seed = "22")
-  void aFinishedItemIsNotLeased(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+  void finishedItemIsNeverLeased(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     JobsStateMachine machine = new JobsStateMachine();
     Set<String> finished = new HashSet<>();
     for (CommandEnvelope envelope : randomLog(seed, 300)) {
--- a/testkit/src/main/java/io/pathdeck/testkit/sim/SimNode.java
+++ b/testkit/src/main/java/io/pathdeck/testkit/sim/SimNode.java
@@ -150,7 +150,7 @@
     String claimKey = request.claimKey().get();
     ClaimService.Claim claim =
         new ClaimService.Claim(
-            PartitionIds.partitionFor(claimKey, SimFleet.PARTITIONS),
+            PartitionIds.partitionForKey(claimKey, SimFleet.PARTITIONS),
             claimKey,
             SimFleet.TENANT,
             Integer.toHexString(claimKey.hashCode()),
