--- a/serving/src/test/java/io/pathdeck/serving/http/TestExchangeHandler.java
+++ b/serving/src/test/java/io/pathdeck/serving/http/TestExchangeHandler.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Routed bodies are bounded, each and all together. */
+/** Request bodies are bounded, each and all together. */
 class TestExchangeHandler {
   private static final HttpLimits LIMITS = new HttpLimits(8_192, 100, 1_000, 10, 30_000);
 
--- a/testkit/src/main/java/io/pathdeck/testkit/load/Prompts.java
+++ b/testkit/src/main/java/io/pathdeck/testkit/load/Prompts.java
@@ -4,7 +4,7 @@
 import io.pathdeck.serving.http.Json;
 import io.pathdeck.testkit.engine.EmulatedText;
 
-/** Routed bodies of the load tool. */
+/** Request bodies of the load tool. */
 public final class Prompts {
   private static final int CHARACTERS_PER_TOKEN = 4;
 
