--- a/consensus/src/main/java/io/pathdeck/consensus/CampaignType.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/CampaignType.java
@@ -1,11 +1,11 @@
 package io.pathdeck.consensus;
 
-/** Why a replica asks for votes. */
+/** The reason for which a replica requests votes. */
 enum CampaignType {
-  /** To learn whether it could win, without a new term. */
+  /** Checks whether the replica could win, without starting a term. */
   PRE_VOTE,
-  /** To lead, after no leader was heard. */
+  /** An election after the election timeout. */
   ELECTION,
-  /** To lead, because the leader has handed over to it. */
+  /** An election that the previous leader requested. */
   LEADERSHIP_TRANSFER
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/CongestionWindow.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/CongestionWindow.java
@@ -4,16 +4,16 @@
 import java.util.Queue;
 
 /**
- * How many messages with entries may be on their way to one member.
+ * Limits the number of messages with entries in flight to one member.
  *
- * <p>The window grows by a little with each acknowledgement and halves with each loss, so that the
- * leader sends no faster than the link and the member take it. Only what is acknowledged leaves the
- * window: an acknowledgement of earlier entries makes no room for later ones.
+ * <p>The window grows additively with acknowledgements and halves on a loss, so that the leader
+ * adapts to the rate of the link and the member. A message leaves the window only when its own
+ * entries are acknowledged, not by an acknowledgement of earlier ones.
  */
 final class CongestionWindow {
   /**
-   * What an acknowledgement adds to a window of one message: it doubles after some 15 of them.
-   * Tuned on the links of TestReplicationUnderLoad, not on machines.
+   * How much an acknowledgement adds to a window of size 1; larger windows grow in inverse
+   * proportion to their size.
    */
   private static final double INCREASE = 0.1;
 
@@ -21,15 +21,15 @@
 
   private final int maxSize;
 
-  /** The last index of each message that is not acknowledged, oldest first. */
+  /** The last entry index of each unacknowledged message, oldest first. */
   private final Queue<Long> inFlight = new ArrayDeque<>();
 
   private double size = MIN_SIZE;
 
   /**
-   * An empty window.
+   * Creates an empty window.
    *
-   * @param maxSize the most messages on their way, however well it goes
+   * @param maxSize the maximum number of messages in flight
    */
   CongestionWindow(int maxSize) {
     this.maxSize = maxSize;
@@ -48,7 +48,7 @@
     size = Math.min(maxSize, size + INCREASE / size);
   }
 
-  /** The leader sends again, and nothing sent before counts as on its way. */
+  /** Halves the window and no longer counts the messages in flight, which will be sent again. */
   void onLoss() {
     inFlight.clear();
     size = Math.max(MIN_SIZE, size / 2);
--- a/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
@@ -2,23 +2,26 @@
 
 import java.util.SplittableRandom;
 
-/** When a replica campaigns, and until when it gives no vote to others. */
+/** Decides when a replica campaigns, and until when it refuses to vote for others. */
 final class ElectionTimer {
-  /** How much longer than the others a member that is to leave waits before it campaigns. */
+  /** How much longer a leaving member waits before it campaigns. */
   private static final long LEAVING_DELAY_MS = 3_000;
 
   /**
-   * How long a replica leaves the field to another one that asks for votes: an election's two round
-   * trips and its sync on a slow machine.
+   * How long a replica defers its campaign to another candidate: the two round trips of an election
+   * and a sync on a slow machine.
    */
   private static final long CAMPAIGN_DEFERRAL_MS = 150;
 
-  /** The pause before a replica that starts asks again whether it could win, and its spread. */
+  /** The delay before a starting replica repeats its pre-vote; a random jitter is added. */
   private static final long STARTUP_RETRY_MS = 150;
 
   private static final long STARTUP_RETRY_JITTER_MS = 300;
 
-  /** How long after its start a replica asks that often: some longest election timeouts. */
+  /**
+   * How long after its start a replica repeats pre-votes at the short delay: several maximum
+   * election timeouts.
+   */
   private static final long STARTUP_PERIOD_MS = 3_600;
 
   private final RaftSettings settings;
@@ -30,10 +33,10 @@
   private long refuseVotesUntilMs;
 
   /**
-   * Begins to wait.
+   * Starts the timer.
    *
-   * @param processStartMs when the process began, or a later time. No promise of an earlier process
-   *     to a leader was made after it, so the time that passed since counts as waited
+   * @param processStartMs when the process started, or later. An earlier process acknowledged no
+   *     leader after this time, so the time since then counts towards the minimum election timeout
    */
   ElectionTimer(RaftSettings settings, long seed, long processStartMs, long nowMs) {
     this.settings = settings;
@@ -48,21 +51,21 @@
     return random.nextLong(Math.max(1, spread));
   }
 
-  /** A member that is to leave lets the others lead. */
+  /** Sets whether this member is leaving; a leaving member campaigns later than the others. */
   void setLeaving(boolean isLeaving) {
     leaving = isLeaving;
   }
 
-  /** Begins to wait anew. */
+  /** Restarts the election timeout. */
   void reset(long nowMs) {
     long waitMs = settings.electionTimeoutMinMs() + randomDelayMs();
     deadlineMs = nowMs + waitMs + (leaving ? LEAVING_DELAY_MS : 0);
   }
 
   /**
-   * Begins to wait for the answers to a pre-vote. While replicas start together the first one may
-   * be lost, for the others do not listen yet; a whole election timeout is not waited then.
-   * Pre-votes promise nothing, so asking again is safe.
+   * Restarts the timeout after a pre-vote was requested. While replicas start together, the first
+   * request may be lost because the others do not listen yet, so it is repeated after a shorter
+   * delay. Pre-votes are not binding, so repeating them is safe.
    */
   void onPreVoteRequested(long nowMs) {
     reset(nowMs);
@@ -72,14 +75,14 @@
   }
 
   /**
-   * Another replica that could win asks for votes. The delay is far shorter than the time between
-   * two campaigns, so a candidate that never wins cannot keep others from campaigning.
+   * Defers the campaign to another candidate that could win. The delay is far shorter than the time
+   * between two campaigns, so a candidate that never wins cannot keep others from campaigning.
    */
   void deferCampaign(long nowMs) {
     deadlineMs = Math.max(deadlineMs, nowMs + CAMPAIGN_DEFERRAL_MS);
   }
 
-  /** A leader was heard: no vote is given for the shortest election timeout. */
+  /** Restarts the timeout and refuses votes for the minimum election timeout. */
   void onLeaderHeard(long nowMs) {
     leaderHeard = true;
     refuseVotesUntilMs = Math.max(refuseVotesUntilMs, nowMs + settings.electionTimeoutMinMs());
--- a/consensus/src/main/java/io/pathdeck/consensus/Elections.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Elections.java
@@ -3,7 +3,7 @@
 import io.pathdeck.protocol.raft.RaftHeader;
 import io.pathdeck.protocol.raft.VoteRequest;
 
-/** The votes of a replica: those it gives, and those it collects while it campaigns. */
+/** Grants votes to other replicas, and collects votes while this replica campaigns. */
 final class Elections {
   private final ReplicaState state;
   private final ElectionTimer timer;
@@ -18,20 +18,21 @@
     this.ballot = new HardState(state, votedFor);
   }
 
-  /** Begins a newer term, in which this replica has not voted. */
+  /** Starts a newer term, in which this replica has not voted. */
   void beginTerm(long term) {
     ballot.beginTerm(term, RecoveredState.NO_REPLICA);
   }
 
-  /** Forgets the votes of a campaign that is over. */
+  /** Discards the votes of a finished campaign. */
   void endCampaign() {
     votes = null;
   }
 
   /**
-   * Asks for votes; an election begins a term in which this replica votes for itself.
+   * Requests votes. Unless it is a pre-vote, this starts a term in which the replica votes for
+   * itself.
    *
-   * @return whether its own vote is enough
+   * @return whether its own vote is a quorum
    */
   boolean startCampaign(CampaignType campaign, long nowMs) {
     if (campaign == CampaignType.PRE_VOTE) {
@@ -56,12 +57,12 @@
   }
 
   /**
-   * Whether a candidate is refused whatever its log holds: its term is over, or a leader may still
-   * answer reads under its lease.
+   * Whether a candidate is refused regardless of its log: its term is outdated, this replica leads,
+   * or a leader may still serve reads under its lease.
    */
-  boolean mustRefuse(VoteRequest request, boolean leads, long nowMs) {
-    boolean leaseStands = timer.refusesVotes(nowMs) && !request.leadershipTransfer();
-    return request.header().term() < state.term || leaseStands || leads;
+  boolean mustRefuse(VoteRequest request, boolean isLeader, long nowMs) {
+    boolean leaseMayHold = timer.refusesVotes(nowMs) && !request.leadershipTransfer();
+    return request.header().term() < state.term || leaseMayHold || isLeader;
   }
 
   void refuse(VoteRequest request) {
@@ -69,9 +70,9 @@
   }
 
   /**
-   * Tells a candidate whether it would get a vote.
+   * Responds to a pre-vote request.
    *
-   * @return whether it would
+   * @return whether the pre-vote was granted
    */
   boolean answerPreVote(VoteRequest request, long nowMs) {
     boolean newerTerm = request.header().term() > state.term;
@@ -83,10 +84,13 @@
     return granted;
   }
 
-  /** Gives a vote where that is free and the candidate's log is new enough. */
-  void answerVote(VoteRequest request, boolean follows, long nowMs) {
+  /**
+   * Responds to a vote request: grants it if this replica follows, has not voted for another
+   * candidate, and the candidate's log is up to date.
+   */
+  void answerVote(VoteRequest request, boolean isFollower, long nowMs) {
     int candidate = request.header().from();
-    boolean granted = follows && ballot.canVoteFor(candidate) && messages.isUpToDate(request);
+    boolean granted = isFollower && ballot.canVoteFor(candidate) && messages.isUpToDate(request);
     if (granted) {
       ballot.voteFor(candidate);
       timer.reset(nowMs);
--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
@@ -10,18 +10,18 @@
 import java.util.List;
 
 /**
- * The work of a follower: takes entries and snapshots from the leader of the term and acknowledges
- * what is both verified against that leader's log and synced here.
+ * The follower's side of replication: accepts entries and snapshots from the leader of the term and
+ * acknowledges what is both verified against the leader's log and synced here.
  */
 final class FollowerLog {
   private final ReplicaState state;
   private int leaderId = RecoveredState.NO_REPLICA;
   private long leaderIncarnation;
 
-  /** The newest send time, on the leader's clock, among the messages of the current leader. */
+  /** The latest send time, on the leader's clock, among the messages of the current leader. */
   private long lastAppendSentAtMs;
 
-  /** Up to where the log is known to agree with the current leader's. */
+  /** The index up to which the log is known to match the current leader's. */
   private long verifiedIndex;
 
   private boolean installing;
@@ -44,33 +44,36 @@
     leaderIncarnation = incarnation;
   }
 
-  /** Forgets what was learnt from the leader of an earlier term. */
+  /** Resets what depends on the leader of the previous term. */
   void onNewTerm() {
     verifiedIndex = 0;
     leaderIncarnation = 0;
     lastAppendSentAtMs = 0;
   }
 
-  /** Whether a whole received snapshot is being stored. */
+  /** Whether a completely received snapshot is being installed. */
   boolean isInstalling() {
     return installing;
   }
 
-  /** Returns the snapshot to be stored, once. */
+  /** Returns the snapshot to install and clears it; null when there is none. */
   SnapshotInstall takeInstall() {
     SnapshotInstall taken = install;
     install = null;
     return taken;
   }
 
-  /** More of the log is durable. */
+  /** Acknowledges newly synced entries to the leader, if it is known. */
   void onSynced() {
     if (leaderId >= 0 && leaderIncarnation != 0) {
       acknowledge(lastAppendSentAtMs);
     }
   }
 
-  /** A received snapshot is stored; the log starts after it. */
+  /**
+   * Resets the log to start after an installed snapshot; returns false when the snapshot is
+   * outdated.
+   */
   boolean onSnapshotInstalled(SnapshotMetadata metadata) {
     installing = false;
     receiver = null;
@@ -84,7 +87,6 @@
     return true;
   }
 
-  /** Acknowledges an installed snapshot. */
   void acknowledgeSnapshot() {
     if (leaderId >= 0) {
       acknowledge(lastAppendSentAtMs);
@@ -146,7 +148,7 @@
     return appended;
   }
 
-  /** Tells the leader up to where its state.log is known to be present and synced here. */
+  /** Tells the leader the index up to which its log is present and synced here. */
   private void acknowledge(long sentAtMs) {
     long match = Math.min(state.syncedIndex, verifiedIndex);
     RaftHeader header = state.header(leaderId, leaderIncarnation);
@@ -173,9 +175,10 @@
       receiver = new SnapshotReceiver(chunk);
     }
     long nextOffset = receiver.accept(chunk);
-    RaftHeader answer = state.header(header.from(), header.fromIncarnation());
+    RaftHeader responseHeader = state.header(header.from(), header.fromIncarnation());
     state.messages.add(
-        new SnapshotChunkResponse(answer, chunk.snapshotIndex(), nextOffset, chunk.sentAtMs()));
+        new SnapshotChunkResponse(
+            responseHeader, chunk.snapshotIndex(), nextOffset, chunk.sentAtMs()));
     if (receiver.isComplete()) {
       installing = true;
       install = receiver.toInstall();
--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerProgress.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerProgress.java
@@ -1,33 +1,32 @@
 package io.pathdeck.consensus;
 
-/** What a leader knows about one other member. */
+/** The replication progress of one other member, as known to the leader. */
 final class FollowerProgress {
   final long incarnation;
   long nextIndex;
   long matchIndex;
 
-  /** From where to send again when sent entries are not acknowledged in time. */
+  /** The index to rewind to when sent entries are not acknowledged in time. */
   long resendFrom;
 
   /** The highest index that was sent to the member in this term. */
   long highestSentIndex;
 
-  /** What may be on its way to the member. */
   final CongestionWindow window;
 
-  /** When entries were sent last, or acknowledged if that is later. */
+  /** When entries were last sent or acknowledged. */
   long lastAppendProgressMs;
 
-  /** How long to wait for progress before sending again; doubles while there is none. */
+  /** The retransmission timeout; doubles while there is no progress. */
   long retransmitMs;
 
-  /** When the leader last went back to send entries again. */
+  /** When the leader last rewound {@link #nextIndex}. */
   long rewoundAtMs;
 
-  /** The send time of the newest heartbeat or append that the member answered. */
+  /** The send time of the latest message that the member answered. */
   long lastAcknowledgedSendMs;
 
-  /** The offset of the snapshot part to send next, or -1 when no snapshot is being sent. */
+  /** The offset of the next snapshot chunk, or -1 when no snapshot is being sent. */
   long snapshotOffset = -1;
 
   long snapshotIndex;
--- a/consensus/src/main/java/io/pathdeck/consensus/HardState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/HardState.java
@@ -2,7 +2,10 @@
 
 import io.pathdeck.protocol.raft.HardStateRecord;
 
-/** The vote of a replica in its present term; each change is recorded before it takes effect. */
+/**
+ * The current term and vote of a replica. Each change is recorded, and becomes durable before
+ * messages that depend on it are sent.
+ */
 final class HardState {
   private final ReplicaState state;
   private int votedFor;
@@ -12,19 +15,19 @@
     this.votedFor = votedFor;
   }
 
-  /** Begins a term with a vote for {@code candidate}, or with {@link RecoveredState#NO_REPLICA}. */
+  /** Starts a term with a vote for {@code candidate}, or with {@link RecoveredState#NO_REPLICA}. */
   void beginTerm(long term, int candidate) {
     state.term = term;
     voteFor(candidate);
   }
 
-  /** Votes for {@code candidate} in the present term. */
+  /** Votes for {@code candidate} in the current term. */
   void voteFor(int candidate) {
     votedFor = candidate;
     state.records.add(new HardStateRecord(state.group, state.term, candidate));
   }
 
-  /** Whether a vote for {@code candidate} contradicts none given in this term. */
+  /** Whether this replica has not voted for another candidate in the current term. */
   boolean canVoteFor(int candidate) {
     return votedFor == RecoveredState.NO_REPLICA || votedFor == candidate;
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 
 /**
- * How a replica with an empty disk comes into the group.
+ * Forms a group or joins a running one, for a replica with an empty disk.
  *
- * <p>A new group starts once every founder was heard to have an empty disk; all derive the same
- * first configuration from what they heard. A replica that finds a group already started takes over
- * that group's first configuration. If the configuration does not name its incarnation, its disk
- * was lost or it is new: it follows without a vote until the leader admits it.
+ * <p>A new group starts once every founder has announced an empty disk; all founders derive the
+ * same first configuration from these announcements. A replica that finds a running group adopts
+ * that group's first configuration. If the configuration does not contain its incarnation, the
+ * replica is new or has lost its disk: it follows without a vote until the leader admits it.
  */
 final class JoinProtocol {
   private static final long JOIN_INTERVAL_MS = 200;
@@ -34,17 +34,19 @@
     this.bootstrap = bootstrap.orElse(null);
   }
 
-  /** Whether the replica may take part in the group. */
+  /** Whether a replica may become a member of the group. */
   boolean isEligible(int id) {
     return settings.policy().open() || settings.founders().contains(id);
   }
 
-  /** Adds replicas that may know the group. */
+  /** Adds replicas to ask for admission. */
   void addContacts(Set<Integer> ids) {
     contacts.addAll(ids);
   }
 
-  /** Announces the empty disk; returns whether the first configuration is now known. */
+  /**
+   * Announces the empty disk if that is due; returns whether the first configuration is now known.
+   */
   boolean poll(long nowMs) {
     if (nowMs < nextJoinMs) {
       return false;
@@ -54,7 +56,10 @@
     return tryBootstrap();
   }
 
-  /** Asks for admission, for a replica that follows without being a member. */
+  /**
+   * Asks for admission if that is due, for a follower that is not a member or may have been
+   * removed.
+   */
   void askToJoin(long nowMs) {
     if (nowMs >= nextJoinMs) {
       sendJoinRequests(true, nowMs);
@@ -80,7 +85,10 @@
     return known;
   }
 
-  /** Handles a peer's request here; returns whether the first configuration is now known. */
+  /**
+   * Handles a peer's request while this replica is joining; returns whether the first configuration
+   * is now known.
+   */
   boolean onJoinRequestWhileJoining(JoinRequest join) {
     if (!join.bootstrapped()) {
       joins.add(join.header().from(), join.header().fromIncarnation(), join.address());
@@ -93,7 +101,7 @@
     return true;
   }
 
-  /** Tells a peer with an empty disk that the group has started. */
+  /** Sends the first configuration to a peer with an empty disk. */
   void answer(JoinRequest join) {
     if (!join.bootstrapped()) {
       RaftHeader header = state.header(join.header().from(), join.header().fromIncarnation());
@@ -110,7 +118,7 @@
     return true;
   }
 
-  /** Takes over the first configuration of a group. */
+  /** Adopts the first configuration of a group. */
   void adopt(GroupConfiguration configuration) {
     bootstrap = configuration;
     state.records.add(new BootstrapRecord(state.group, configuration));
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinSettings.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinSettings.java
@@ -3,11 +3,12 @@
 import java.util.Set;
 
 /**
- * How a replica finds its group.
+ * How a replica forms or joins its group.
  *
- * @param founders the ids that start a new group together; empty when this replica only joins
- * @param contacts the ids that are asked for admission at first
- * @param address where the other members reach this replica; empty where addresses are settings
+ * @param founders the ids that form a new group together; empty when this replica only joins
+ * @param contacts the ids that are asked for admission initially
+ * @param address the address at which other members reach this replica; empty when all addresses
+ *     are configured
  */
 public record JoinSettings(
     Set<Integer> founders, Set<Integer> contacts, String address, MembershipPolicy policy) {
@@ -16,7 +17,7 @@
     contacts = Set.copyOf(contacts);
   }
 
-  /** A group whose members are listed in the settings. */
+  /** Settings of a group whose members are configured. */
   public static JoinSettings fixed(Set<Integer> ids) {
     return new JoinSettings(ids, ids, "", MembershipPolicy.FIXED);
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinTracker.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinTracker.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Collects the replicas that reported an empty disk. */
+/** Collects the replicas that announced an empty disk. */
 final class JoinTracker {
-  private final Map<Integer, Member> add = new HashMap<>();
+  private final Map<Integer, Member> members = new HashMap<>();
 
   void add(int id, long incarnation, String address) {
-    add.put(id, new Member(id, incarnation, true, address));
+    members.put(id, new Member(id, incarnation, true, address));
   }
 
   boolean containsAll(Set<Integer> ids) {
-    return add.keySet().containsAll(ids);
+    return members.keySet().containsAll(ids);
   }
 
-  /** The configuration in which all {@code ids} vote. */
+  /** The configuration with all {@code ids} as voters. */
   GroupConfiguration configuration(Set<Integer> ids) {
-    List<Member> members = ids.stream().sorted().map(add::get).toList();
-    return new GroupConfiguration(members);
+    List<Member> voters = ids.stream().sorted().map(members::get).toList();
+    return new GroupConfiguration(voters);
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -13,11 +13,11 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a replica knows while it leads: the progress of the members and who wants to join. */
+/** What a replica keeps track of while it leads: the progress of the members and join requests. */
 final class LeaderState {
   /**
-   * The longest time the leader waits before it sends again: four times the usual one, so that a
-   * member that was cut off for long still catches up within two seconds.
+   * The maximum retransmission timeout. It is short enough that a member that was unreachable for a
+   * long time catches up within two seconds.
    */
   private static final long MAX_RETRANSMIT_MS = 1_600;
 
@@ -46,7 +46,7 @@
     this.lastHeartbeatMs = nowMs;
   }
 
-  /** Follows the members of a new configuration; known incarnations keep their progress. */
+  /** Adopts a new configuration; members with an unchanged incarnation keep their progress. */
   void adopt(GroupConfiguration next, long lastIndex, long nowMs) {
     configuration = next;
     progress.keySet().removeIf(id -> next.find(id).isEmpty());
@@ -78,10 +78,12 @@
   }
 
   /**
-   * Sends entries again that were not acknowledged in time. What counts is that something sent is
-   * outstanding, not how many messages are: an acknowledgement of earlier entries says nothing
-   * about a later message that was lost. The wait doubles while there is no progress: a member that
-   * is only slow would otherwise be sent the same again and again, and a full link stay full.
+   * Rewinds a member to its last acknowledged entry when the retransmission timeout has expired.
+   *
+   * <p>This depends on indexes and not on the number of messages in flight, since an
+   * acknowledgement of earlier entries does not show that a later message was lost. The timeout
+   * doubles while there is no progress; otherwise a slow member would be sent the same entries
+   * repeatedly, which keeps a saturated link saturated.
    */
   void rewindIfStalled(FollowerProgress follower, long nowMs) {
     boolean stalled =
@@ -112,13 +114,14 @@
   }
 
   /**
-   * The member's log ends earlier or differs: go back as far as it says.
+   * Rewinds a member whose log is shorter than the leader's or differs from it.
    *
-   * <p>When one message is lost, all that were on their way behind it are answered with a mismatch.
-   * Only the first of these answers counts; going back for each would send everything as often.
+   * <p>When one message is lost, all messages in flight behind it are rejected. Only the first of
+   * these rejections counts; rewinding for each would send all entries again each time.
    *
-   * @param sentAtMs when the message was sent that is answered
-   * @return whether that is news
+   * @param hint the last index at which the member's log may match
+   * @param sentAtMs when the rejected message was sent
+   * @return whether the member was rewound
    */
   boolean onAppendRejected(FollowerProgress follower, long hint, long sentAtMs, long nowMs) {
     if (sentAtMs <= follower.rewoundAtMs) {
@@ -135,7 +138,10 @@
     return true;
   }
 
-  /** Records that a snapshot part was sent; a newer snapshot starts again from its beginning. */
+  /**
+   * Records that a snapshot chunk was sent. When the snapshot is newer than the previous one, the
+   * receiver asks for it from the beginning.
+   */
   void onSnapshotChunkSent(int memberId, long snapshotIndex, long nowMs) {
     FollowerProgress follower = progress.get(memberId);
     if (follower == null) {
@@ -145,7 +151,9 @@
     follower.lastSnapshotSentMs = nowMs;
   }
 
-  /** The newest send time that a quorum of voters has answered, the leader itself included. */
+  /**
+   * The latest send time that a quorum of voters, including the leader itself, has acknowledged.
+   */
   long quorumAcknowledgedMs(long nowMs) {
     return quorumValue(configuration, follower -> follower.lastAcknowledgedSendMs, nowMs);
   }
@@ -181,9 +189,9 @@
   }
 
   /**
-   * The next single change of membership: a member whose disk was lost becomes a learner under its
-   * new incarnation, a learner that has caught up becomes a voter, a newcomer is admitted as a
-   * learner, or a member that leaves or is silent is removed.
+   * The configuration after the next single-member change, if one is due: a member whose disk was
+   * lost becomes a learner under its new incarnation, a learner that has caught up becomes a voter,
+   * a new replica is admitted as a learner, or a leaving or silent member is removed.
    */
   Optional<GroupConfiguration> nextConfiguration(
       GroupConfiguration current, long commitIndex, long nowMs) {
@@ -238,7 +246,9 @@
     return Optional.empty();
   }
 
-  /** The voter that answers, was sent the whole log and has acknowledged most of it. */
+  /**
+   * The voter with the highest match index among those that respond and were sent the whole log.
+   */
   Optional<Member> transferTarget(GroupConfiguration current, long lastIndex, long nowMs) {
     return current.members().stream()
         .filter(member -> member.voter() && member.id() != selfId)
--- a/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
@@ -8,9 +8,9 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** What a replica does while it leads, and which members it is to remove. */
+/** The work of a replica while it leads, and the members it has to remove. */
 final class Leadership {
-  /** What a leader has to do when its timers were asked. */
+  /** What a leader does when a heartbeat is due. */
   enum LeaderAction {
     CONTINUE,
     TRANSFER_LEADERSHIP,
@@ -21,10 +21,10 @@
   private final MembershipPolicy policy;
   private Set<Integer> leaving = Set.of();
 
-  /** What was sent until then does not renew the lease, however late it is acknowledged. */
+  /** Acknowledgements of messages sent up to this time do not renew the lease. */
   private long leaseInvalidatedAtMs = Long.MIN_VALUE;
 
-  /** Not null exactly while the replica leads. */
+  /** Not null if and only if this replica leads. */
   private Replicator replicator;
 
   Leadership(ReplicaState state, MembershipPolicy policy) {
@@ -32,7 +32,10 @@
     this.policy = policy;
   }
 
-  /** Begins a term as leader: an entry of its own commits what earlier leaders left. */
+  /**
+   * Starts a term as leader. An empty entry is appended, since entries of earlier terms are
+   * committed only together with one of the current term.
+   */
   void begin(long nowMs) {
     replicator = new Replicator(state, policy, nowMs);
     replicator.setLeaving(leaving);
@@ -44,12 +47,12 @@
     replicator = null;
   }
 
-  /** The replication of the term that this replica leads. */
+  /** The replicator of the current term; null while this replica does not lead. */
   Replicator replicator() {
     return replicator;
   }
 
-  /** Names the members that are to leave. */
+  /** Sets the members to be removed. */
   void setLeaving(Set<Integer> ids) {
     leaving = Set.copyOf(ids);
     if (replicator != null) {
@@ -66,7 +69,7 @@
     return replicator == null ? 0 : replicator.matchIndex(memberId);
   }
 
-  /** Tells the voter that is closest to the log to campaign; returns whether there is one. */
+  /** Tells the most up-to-date voter to campaign; returns whether there is one. */
   boolean sendTimeoutNow(long nowMs) {
     Optional<Member> successor = replicator.transferTarget(nowMs);
     successor.ifPresent(
@@ -75,31 +78,39 @@
     return successor.isPresent();
   }
 
-  /** The index up to which a read must see, while the lease of this leader holds. */
+  /**
+   * The index that a linearizable read must have applied; empty while the lease is not valid or no
+   * entry of the current term is committed.
+   */
   OptionalLong readIndex(long nowMs) {
     boolean ownTermCommitted = state.log.term(state.commitIndex) == state.term;
     long acknowledgedMs = nowMs - replicator.quorumSilenceMs(nowMs);
     boolean recent = nowMs - acknowledgedMs < state.settings.leaseMs();
-    boolean leased = recent && acknowledgedMs > leaseInvalidatedAtMs;
-    return ownTermCommitted && leased ? OptionalLong.of(state.commitIndex) : OptionalLong.empty();
+    boolean leaseValid = recent && acknowledgedMs > leaseInvalidatedAtMs;
+    return ownTermCommitted && leaseValid
+        ? OptionalLong.of(state.commitIndex)
+        : OptionalLong.empty();
   }
 
   /**
-   * More time may have passed than the clock shows. Another member may lead by now, so no read is
-   * answered until a quorum acknowledges something that is sent from now on.
+   * Invalidates the lease. Another member may lead by now, so no read is answered until a quorum
+   * acknowledges a message sent after {@code nowMs}.
    */
   void invalidateLease(long nowMs) {
     leaseInvalidatedAtMs = nowMs;
   }
 
-  /** What to do once a heartbeat is due: a leader that is to leave, or hears no quorum, ends. */
+  /**
+   * What to do when a heartbeat is due. A leader that is leaving or has lost its quorum gives up
+   * leadership.
+   */
   LeaderAction nextAction(long nowMs) {
     boolean enoughRemain = state.log.configuration().voterCount() > policy.minVoters();
     if (leaving.contains(state.id) && enoughRemain) {
       return LeaderAction.TRANSFER_LEADERSHIP;
     }
-    boolean lost = replicator.quorumSilenceMs(nowMs) > state.settings.electionTimeoutMaxMs();
-    return lost ? LeaderAction.STEP_DOWN : LeaderAction.CONTINUE;
+    boolean quorumLost = replicator.quorumSilenceMs(nowMs) > state.settings.electionTimeoutMaxMs();
+    return quorumLost ? LeaderAction.STEP_DOWN : LeaderAction.CONTINUE;
   }
 
   void receive(RaftMessage message, long nowMs) {
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
@@ -7,9 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * The entries of a replica's log after its snapshot, held in memory, and the configurations in it.
- */
+/** The part of a replica's log after its snapshot, in memory, and the configurations in it. */
 final class RaftLog {
   private final List<LogEntry> entries = new ArrayList<>();
   private final TreeMap<Long, GroupConfiguration> configurations = new TreeMap<>();
@@ -47,7 +45,10 @@
     return sizeBytes;
   }
 
-  /** The term of an entry that is in the log or is the snapshot's last; -1 for any other. */
+  /**
+   * The term of the entry at {@code index}, or -1 if it is neither in the log nor the last one of
+   * the snapshot.
+   */
   long term(long index) {
     if (index == snapshotIndex) {
       return snapshotTerm;
@@ -64,7 +65,8 @@
 
   void append(LogEntry entry) {
     if (entry.index() != lastIndex() + 1) {
-      throw new IllegalStateException("append of " + entry.index() + " after " + lastIndex());
+      throw new IllegalStateException(
+          "cannot append entry " + entry.index() + " after " + lastIndex());
     }
     entries.add(entry);
     sizeBytes += entry.sizeBytes();
@@ -73,7 +75,7 @@
     }
   }
 
-  /** Drops the entry at {@code index} and all after it. */
+  /** Removes the entry at {@code index} and all after it. */
   void truncateFrom(long index) {
     while (lastIndex() >= index) {
       LogEntry removed = entries.remove(entries.size() - 1);
@@ -82,7 +84,7 @@
     configurations.tailMap(index, true).clear();
   }
 
-  /** Entries from {@code from} on, at least one and at most about {@code maxBytes}. */
+  /** Entries from {@code from} on: at least one, and more while they fit in {@code maxBytes}. */
   List<LogEntry> slice(long from, int maxBytes) {
     List<LogEntry> slice = new ArrayList<>();
     long bytes = 0;
@@ -105,13 +107,13 @@
     return configurations.lastKey();
   }
 
-  /** The configuration in force at {@code index}. */
+  /** The configuration in effect at {@code index}. */
   GroupConfiguration configurationAt(long index) {
     Map.Entry<Long, GroupConfiguration> entry = configurations.floorEntry(index);
     return entry == null ? configurations.firstEntry().getValue() : entry.getValue();
   }
 
-  /** Drops entries up to {@code index}, which a snapshot now covers. */
+  /** Discards the entries up to {@code index}, which a snapshot covers. */
   void compact(long index) {
     if (index <= snapshotIndex) {
       return;
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
@@ -16,20 +16,20 @@
 import java.util.Set;
 
 /**
- * One replica of a replicated log, as a pure state machine.
+ * One replica of a Raft group, as a deterministic state machine without I/O or threads.
  *
- * <p>The caller passes in time and messages and carries out what {@link #takeReady} returns. Safety
- * rests on these rules beside Raft's own:
+ * <p>The caller supplies the time and incoming messages and carries out what {@link #takeReady}
+ * returns. In addition to Raft's rules, safety depends on the following:
  *
  * <ul>
- *   <li>A vote leaves only after it is durable, and an acknowledgement covers only synced entries.
- *   <li>A member is an id <em>and</em> an incarnation of its data folder. Votes and
- *       acknowledgements of an incarnation that the configuration does not name are not counted, so
- *       a replica that lost its disk cannot help to elect a leader that misses what the lost disk
- *       acknowledged. It is replaced by a learner first and votes again after it has caught up.
- *   <li>A replica that heard from a leader, or has just started, refuses votes for the shortest
- *       election timeout. That is what makes the leader's lease valid. A leader that hands over has
- *       ended its term before it names its successor, so votes for that one wait for no lease.
+ *   <li>A vote is sent only after it is durable, and an acknowledgement covers only synced entries.
+ *   <li>A member is identified by its id <em>and</em> the incarnation of its data folder. Votes and
+ *       acknowledgements of any other incarnation are not counted, so a replica that lost its disk
+ *       cannot help to elect a leader that lacks entries which the lost disk acknowledged. It
+ *       becomes a learner and votes again only after it has caught up.
+ *   <li>A replica that heard from a leader, or has just started, refuses votes for the minimum
+ *       election timeout, which makes the leader's lease safe. Leadership transfer bypasses this,
+ *       since the leader steps down before it sends {@link TimeoutNow}.
  * </ul>
  */
 public final class RaftReplica {
@@ -44,9 +44,9 @@
   private ReplicaRole role = ReplicaRole.JOINING;
 
   /**
-   * Restores a replica that finds its group as {@code joinSettings} say.
+   * Restores a replica from its recovered state.
    *
-   * @param processStartMs when the process began, in the time of {@code nowMs}
+   * @param processStartMs when the process started, on the clock of {@code nowMs}
    */
   public RaftReplica(
       int group,
@@ -74,7 +74,7 @@
     }
   }
 
-  // ---- state seen from outside
+  // ---- accessors
 
   public ReplicaRole role() {
     return role;
@@ -84,7 +84,7 @@
     return state.term;
   }
 
-  /** The leader's state.id, or -1 when unknown. */
+  /** The id of the leader, or -1 when unknown. */
   public int leaderId() {
     return follower.leaderId();
   }
@@ -97,7 +97,7 @@
     return state.log.lastIndex();
   }
 
-  /** The bytes of entries that no snapshot covers yet. */
+  /** The size in bytes of the entries that no snapshot covers yet. */
   public long logSizeBytes() {
     return state.log.sizeBytes();
   }
@@ -107,12 +107,14 @@
     return state.log.hasConfiguration() ? Optional.of(state.log.configuration()) : Optional.empty();
   }
 
-  /** The newest configuration once it is committed; empty while a change is under way. */
+  /** The newest configuration once it is committed; empty while a membership change is pending. */
   public Optional<GroupConfiguration> committedConfiguration() {
     return configuration().filter(next -> state.log.configurationIndex() <= state.commitIndex);
   }
 
-  /** The highest index known to be synced on {@code memberId}; for the leader's reports. */
+  /**
+   * The highest index known to be synced on a member; only the leader knows it of other members.
+   */
   public long matchIndex(int memberId) {
     if (memberId == state.id) {
       return state.syncedIndex;
@@ -125,12 +127,14 @@
     return state.statistics;
   }
 
-  /** Adds replicas that may know the group, for a replica that seeks admission. */
+  /** Adds replicas to ask for admission to the group. */
   public void addContacts(Set<Integer> ids) {
     joining.addContacts(ids);
   }
 
-  /** Starts from the first configuration of a group that was founded by others' decision. */
+  /**
+   * Starts a joining replica from the first configuration of its group; ignored in any other role.
+   */
   public void bootstrap(GroupConfiguration configuration, long nowMs) {
     if (role == ReplicaRole.JOINING) {
       joining.adopt(configuration);
@@ -139,8 +143,8 @@
   }
 
   /**
-   * Names the members that are to leave. The leader removes them while enough voters remain; one
-   * that leads hands over by ending its term.
+   * Sets the members to be removed. The leader removes them while enough voters remain; a leader
+   * that is one of them transfers leadership or steps down.
    */
   public void setLeaving(Set<Integer> ids) {
     leadership.setLeaving(ids);
@@ -148,12 +152,13 @@
   }
 
   /**
-   * Ends this replica's term and tells the voter that is closest to its log to campaign at once.
+   * Steps down and tells the most up-to-date voter to campaign immediately.
    *
-   * <p>The leader steps down before the message leaves, so it answers no read under its lease any
-   * more. Entries that wait for a quorum were sent to the successor earlier on the same way.
+   * <p>The leader steps down before the message is sent, so it no longer serves reads under its
+   * lease. Entries that wait for a quorum were sent to the successor earlier, over the same
+   * connection.
    *
-   * @return whether a successor was found; nothing changes otherwise
+   * @return whether a successor was found; otherwise nothing changes
    */
   public boolean transferLeadership(long nowMs) {
     if (role != ReplicaRole.LEADER || !leadership.sendTimeoutNow(nowMs)) {
@@ -163,14 +168,14 @@
     return true;
   }
 
-  /** What a snapshot taken after applying {@code index} must record. */
+  /** The metadata of a snapshot taken after applying {@code index}. */
   public SnapshotMetadata snapshotMetadata(long index) {
     return new SnapshotMetadata(index, state.log.term(index), state.log.configurationAt(index));
   }
 
   // ---- inputs
 
-  /** Lets timers act. */
+  /** Runs the actions whose timers have expired. */
   public void poll(long nowMs) {
     switch (role) {
       case JOINING -> pollJoining(nowMs);
@@ -180,8 +185,8 @@
   }
 
   private void pollFollower(long nowMs) {
-    boolean forgotten = policy.open() && timer.isLeaderLost(nowMs);
-    if (!state.isMember() || forgotten) {
+    boolean mayBeRemoved = policy.open() && timer.isLeaderLost(nowMs);
+    if (!state.isMember() || mayBeRemoved) {
       joining.askToJoin(nowMs);
     }
     if (timer.isExpired(nowMs)) {
@@ -189,7 +194,7 @@
     }
   }
 
-  /** Appends a command; empty when this replica does not lead. */
+  /** Appends a command and returns its index; empty when this replica does not lead. */
   public OptionalLong propose(byte[] command, long nowMs) {
     if (role != ReplicaRole.LEADER) {
       return OptionalLong.empty();
@@ -201,21 +206,21 @@
 
   /**
    * The index that must be applied before a linearizable read may be answered; empty when this
-   * replica cannot tell that it still leads.
+   * replica cannot be sure that it still leads.
    */
   public OptionalLong readIndex(long nowMs) {
     return role == ReplicaRole.LEADER ? leadership.readIndex(nowMs) : OptionalLong.empty();
   }
 
   /**
-   * To be called when more time may have passed than the clock shows, as after a suspension of the
-   * machine: a lease that is measured by the clock may be over.
+   * Invalidates the leader's lease. To be called when more time may have passed than the clock
+   * shows, as after a suspension of the machine.
    */
   public void invalidateLease(long nowMs) {
     leadership.invalidateLease(nowMs);
   }
 
-  /** Handles a message of another replica. */
+  /** Handles a message from another replica. */
   public void receive(RaftMessage message, long nowMs) {
     RaftHeader header = message.header();
     if (message instanceof JoinRequest join) {
@@ -234,8 +239,8 @@
     }
     if (message instanceof VoteResponse response) {
       onVoteResponse(response, nowMs);
-    } else if (message instanceof TimeoutNow handover) {
-      onTimeoutNow(handover, nowMs);
+    } else if (message instanceof TimeoutNow timeoutNow) {
+      onTimeoutNow(timeoutNow, nowMs);
     } else if (isLeaderInTerm(header)) {
       leadership.receive(message, nowMs);
     } else {
@@ -263,7 +268,7 @@
     return message instanceof VoteResponse response && response.preVote() && response.granted();
   }
 
-  /** The log is durable up to the entry with this index and term. */
+  /** Called when the log is durable up to the entry with this index and term. */
   public void onSynced(long index, long entryTerm, long nowMs) {
     if (index <= state.syncedIndex || state.log.term(index) != entryTerm) {
       return;
@@ -276,7 +281,7 @@
     }
   }
 
-  /** A received snapshot is stored and restored. */
+  /** Called when a received snapshot has been stored and restored. */
   public void onSnapshotInstalled(SnapshotMetadata metadata, long nowMs) {
     if (!follower.onSnapshotInstalled(metadata)) {
       return;
@@ -289,12 +294,12 @@
     follower.acknowledgeSnapshot();
   }
 
-  /** A durable snapshot now covers the state.log up to {@code index}. */
+  /** Called when a durable snapshot covers the log up to {@code index}. */
   public void onSnapshotTaken(long index) {
     committedEntries.compact(index);
   }
 
-  /** Sends a part of the newest snapshot that a {@link SnapshotRequest} asked for. */
+  /** Sends the chunk of the newest snapshot that {@code request} asked for. */
   public void sendSnapshotChunk(
       SnapshotRequest request, SnapshotMetadata metadata, byte[] data, boolean last, long nowMs) {
     if (role != ReplicaRole.LEADER) {
@@ -303,7 +308,7 @@
     leadership.replicator().sendSnapshotChunk(request, metadata, data, last, nowMs);
   }
 
-  /** Returns what has to be done and forgets it. */
+  /** Returns the pending outputs and clears them. */
   public Ready takeReady() {
     List<LogEntry> committed = follower.isInstalling() ? List.of() : committedEntries.take();
     Ready ready =
@@ -370,8 +375,8 @@
     }
   }
 
-  private void onTimeoutNow(TimeoutNow handover, long nowMs) {
-    RaftHeader header = handover.header();
+  private void onTimeoutNow(TimeoutNow timeoutNow, long nowMs) {
+    RaftHeader header = timeoutNow.header();
     boolean fromLeader =
         role == ReplicaRole.FOLLOWER
             && header.term() == state.term
@@ -399,13 +404,13 @@
   }
 
   /**
-   * Of replicas that ask at the same moment, those with a higher id give way to one that could win,
-   * so that they do not split the votes. Only a pre-vote is given up, which promises nothing.
+   * Avoids split votes: a pre-candidate abandons its pre-vote in favor of a replica with a lower id
+   * that could win. Pre-votes are not binding, so this is safe.
    */
   private void onPreVoteRequest(VoteRequest request, long nowMs) {
     boolean couldWin = elections.answerPreVote(request, nowMs);
-    boolean comesFirst = request.header().from() < state.id;
-    if (couldWin && comesFirst && role == ReplicaRole.PRE_CANDIDATE) {
+    boolean hasLowerId = request.header().from() < state.id;
+    if (couldWin && hasLowerId && role == ReplicaRole.PRE_CANDIDATE) {
       role = ReplicaRole.FOLLOWER;
       elections.endCampaign();
     }
--- a/consensus/src/main/java/io/pathdeck/consensus/Ready.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Ready.java
@@ -7,9 +7,10 @@
 import java.util.Optional;
 
 /**
- * What a replica wants done, in this order: {@code messages} may go at once; {@code records} are
- * made durable; then {@code messagesAfterSync} go and {@link RaftReplica#onSynced} is called.
- * {@code committed} entries are applied in order and need not wait.
+ * The pending outputs of a replica, to be handled in this order: {@code messages} are sent at once;
+ * {@code records} are made durable; then {@code messagesAfterSync} are sent and {@link
+ * RaftReplica#onSynced} is called. {@code committed} entries are applied in order and need not wait
+ * for the sync.
  */
 public record Ready(
     List<RaftMessage> messages,
@@ -19,7 +20,7 @@
     Optional<SnapshotInstall> install,
     List<SnapshotRequest> snapshotRequests) {
 
-  /** Whether anything must pass through the storage before more can happen. */
+  /** Whether records must be made durable or messages wait for that. */
   public boolean needsSync() {
     return !records.isEmpty() || !messagesAfterSync.isEmpty();
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/RecoveredState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RecoveredState.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a replica found on its disk. */
+/** The state of a replica as recovered from its disk. */
 public record RecoveredState(
     long term,
     int votedFor,
     Optional<GroupConfiguration> bootstrap,
     Optional<SnapshotMetadata> snapshot,
     List<LogEntry> entries) {
-  /** No vote was given in the term. */
+  /** The id that stands for no replica: no vote in the term, or no known leader. */
   public static final int NO_REPLICA = -1;
 
   /** The state of a replica with an empty disk. */
--- a/consensus/src/main/java/io/pathdeck/consensus/ReplicaRole.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ReplicaRole.java
@@ -1,11 +1,11 @@
 package io.pathdeck.consensus;
 
-/** What a replica currently is in its group. */
+/** The current role of a replica in its group. */
 public enum ReplicaRole {
-  /** No configuration is known yet: waits for bootstrap or for a leader to admit it. */
+  /** Knows no configuration yet; waits for bootstrap or for admission by a leader. */
   JOINING,
   FOLLOWER,
-  /** Asks whether an election would succeed before disturbing the group with a new term. */
+  /** Checks whether it could win an election before it starts a new term. */
   PRE_CANDIDATE,
   CANDIDATE,
   LEADER
--- a/consensus/src/main/java/io/pathdeck/consensus/ReplicaState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ReplicaState.java
@@ -7,7 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the parts of one replica share: who it is, its log, its term and its pending outputs. */
+/**
+ * The state shared by the components of one replica: its identity, log, term and pending outputs.
+ */
 final class ReplicaState {
   final int group;
   final int id;
@@ -31,7 +33,7 @@
     this.settings = settings;
   }
 
-  /** Rebuilds the log from what the disk held; what a snapshot covers counts as committed. */
+  /** Rebuilds the log from the recovered state; entries covered by the snapshot are committed. */
   void restoreLog(RecoveredState recovered) {
     if (recovered.snapshot().isPresent()) {
       SnapshotMetadata snapshot = recovered.snapshot().get();
@@ -43,29 +45,29 @@
     }
     commitIndex = log.snapshotIndex();
     for (LogEntry entry : recovered.entries()) {
-      // Entries of an older term than the snapshot's were replaced before it was taken.
+      // Entries of an older term than the snapshot's were overwritten before it was taken.
       if (entry.index() == log.lastIndex() + 1 && entry.term() >= log.lastTerm()) {
         log.append(entry);
       }
     }
   }
 
-  /** Whether the newest configuration names this incarnation of the replica. */
+  /** Whether the newest configuration contains this incarnation of the replica. */
   boolean isMember() {
     return log.configuration().find(id).filter(m -> m.incarnation() == incarnation).isPresent();
   }
 
-  /** Whether this incarnation of the replica votes by the newest configuration. */
+  /** Whether this incarnation of the replica is a voter in the newest configuration. */
   boolean isVoter() {
     return log.configuration().isVoter(id, incarnation);
   }
 
-  /** The header of a message of this term. */
+  /** Creates the header of a message in the current term. */
   RaftHeader header(int to, long toIncarnation) {
     return new RaftHeader(group, id, incarnation, to, toIncarnation, term);
   }
 
-  /** Forgets the pending outputs, after they were taken. */
+  /** Replaces the lists of pending outputs; lists that were handed out stay unchanged. */
   void clearOutputs() {
     messages = new ArrayList<>();
     records = new ArrayList<>();
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * The work of a leader: appends entries, sends them to the members, decides what is committed and
- * changes the membership one member at a time. Lives for one term of leadership.
+ * The leader's side of replication: appends entries, sends them to the members, advances the commit
+ * index and changes the membership one member at a time. One instance serves one term.
  */
 final class Replicator {
   private final ReplicaState state;
@@ -32,7 +32,7 @@
     return leaderState.matchIndex(memberId);
   }
 
-  /** For how long no quorum has answered. */
+  /** The time since the send time that a quorum last acknowledged. */
   long quorumSilenceMs(long nowMs) {
     return nowMs - leaderState.quorumAcknowledgedMs(nowMs);
   }
@@ -45,7 +45,9 @@
     leaderState.setLeaving(ids);
   }
 
-  /** The voter that can lead next; empty while none was sent the whole log. */
+  /**
+   * The voter to transfer leadership to; empty while no responsive voter was sent the whole log.
+   */
   Optional<Member> transferTarget(long nowMs) {
     return leaderState.transferTarget(state.log.configuration(), state.log.lastIndex(), nowMs);
   }
@@ -54,13 +56,13 @@
     return leaderState.isHeartbeatDue(nowMs);
   }
 
-  /** Sends heartbeats, and proposes a change of membership that has become possible. */
+  /** Proposes a membership change if one is due, and sends heartbeats. */
   void heartbeat(long nowMs) {
     changeMembershipIfNeeded(nowMs);
     broadcastHeartbeat(nowMs);
   }
 
-  /** Sends a part of the newest snapshot. */
+  /** Sends a chunk of the newest snapshot. */
   void sendSnapshotChunk(
       SnapshotRequest request, SnapshotMetadata metadata, byte[] data, boolean last, long nowMs) {
     leaderState.onSnapshotChunkSent(request.member().id(), metadata.index(), nowMs);
@@ -128,20 +130,20 @@
 
   private void countSentBytes(FollowerProgress progress, List<LogEntry> entries) {
     long sent = 0;
-    long sentAgain = 0;
+    long resent = 0;
     for (LogEntry entry : entries) {
       sent += entry.sizeBytes();
-      sentAgain += entry.index() <= progress.highestSentIndex ? entry.sizeBytes() : 0;
+      resent += entry.index() <= progress.highestSentIndex ? entry.sizeBytes() : 0;
       progress.highestSentIndex = Math.max(progress.highestSentIndex, entry.index());
     }
-    state.statistics = state.statistics.plus(sent, sentAgain);
+    state.statistics = state.statistics.plus(sent, resent);
   }
 
   private void requestSnapshot(Member member, FollowerProgress progress, long nowMs) {
-    boolean waits =
+    boolean awaitsResponse =
         progress.isSendingSnapshot()
             && nowMs - progress.lastSnapshotSentMs < state.settings.retransmitMs();
-    if (waits) {
+    if (awaitsResponse) {
       return;
     }
     progress.snapshotOffset = Math.max(0, progress.snapshotOffset);
@@ -164,9 +166,9 @@
   }
 
   /**
-   * Where the member's log is thought to agree. While nothing is known of a member, its heartbeats
-   * ask at the end of the log: one that asked at the beginning would always succeed, and a member
-   * with an empty log would get nothing until the next command.
+   * The index up to which the member's log is assumed to match. For a member without a known match
+   * this is the end of the log: a heartbeat that refers to the beginning would always succeed, and
+   * a member with an empty log would get no entries until the next command.
    */
   private static long lastCommonIndex(FollowerProgress progress) {
     return progress.matchIndex > 0 ? progress.matchIndex : progress.nextIndex - 1;
@@ -183,7 +185,10 @@
             nowMs));
   }
 
-  /** Notes that a member answered; null when the configuration does not name its incarnation. */
+  /**
+   * Records the acknowledged send time and returns the member's progress; null when the
+   * configuration does not contain the sender's incarnation.
+   */
   private FollowerProgress onAcknowledged(RaftHeader header, long sentAtMs) {
     FollowerProgress progress = leaderState.progress(header.from());
     if (progress == null || progress.incarnation != header.fromIncarnation()) {
@@ -193,7 +198,7 @@
     return progress;
   }
 
-  /** Handles an answer of a member; what is no answer is ignored. */
+  /** Handles a response from a member; other messages are ignored. */
   void receive(RaftMessage message, long nowMs) {
     if (message instanceof AppendResponse response) {
       onAppendResponse(response, nowMs);
@@ -228,7 +233,7 @@
       return;
     }
     if (response.nextOffset() == progress.snapshotOffset) {
-      // Answers a part that was sent twice; its successor is on its way.
+      // Response to a chunk that was sent twice; the next one is already on its way.
       return;
     }
     progress.snapshotOffset = response.nextOffset();
--- a/consensus/src/main/java/io/pathdeck/consensus/SnapshotReceiver.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/SnapshotReceiver.java
@@ -3,7 +3,7 @@
 import io.pathdeck.protocol.raft.SnapshotChunk;
 import java.io.ByteArrayOutputStream;
 
-/** Puts the parts of one snapshot together. */
+/** Assembles the chunks of one snapshot. */
 final class SnapshotReceiver {
   private final SnapshotMetadata metadata;
   private final ByteArrayOutputStream content = new ByteArrayOutputStream();
@@ -18,7 +18,7 @@
     return chunk.snapshotIndex() == metadata.index() && chunk.snapshotTerm() == metadata.term();
   }
 
-  /** Takes a part in its turn; returns the offset expected next. */
+  /** Appends a chunk if it is the next one; returns the offset expected next. */
   long accept(SnapshotChunk chunk) {
     if (chunk.offset() == content.size() && !complete) {
       content.writeBytes(chunk.data());
--- a/consensus/src/main/java/io/pathdeck/consensus/SnapshotRequest.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/SnapshotRequest.java
@@ -2,5 +2,5 @@
 
 import io.pathdeck.protocol.raft.Member;
 
-/** The leader wants to send a part of its newest snapshot to a member. */
+/** A request to read the chunk of the newest snapshot at {@code offset} and send it to a member. */
 public record SnapshotRequest(Member member, long offset) {}
--- a/consensus/src/main/java/io/pathdeck/consensus/VoteMessages.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/VoteMessages.java
@@ -5,7 +5,7 @@
 import io.pathdeck.protocol.raft.VoteRequest;
 import io.pathdeck.protocol.raft.VoteResponse;
 
-/** Writes the messages of elections; a vote leaves only after it is durable. */
+/** Creates the messages of elections; votes are sent only after they are durable. */
 final class VoteMessages {
   private final ReplicaState state;
 
@@ -13,7 +13,7 @@
     this.state = state;
   }
 
-  /** Asks all other voters for a vote, or, before an election, whether they would give it. */
+  /** Requests votes or pre-votes from all other voters. */
   void requestVotes(CampaignType campaign) {
     boolean preVote = campaign == CampaignType.PRE_VOTE;
     boolean transfer = campaign == CampaignType.LEADERSHIP_TRANSFER;
@@ -36,22 +36,22 @@
     }
   }
 
-  /** Answers a candidate. */
+  /** Responds to a candidate; a granted pre-vote carries the term of the request. */
   void respond(VoteRequest request, boolean granted) {
-    RaftHeader from = request.header();
-    long responseTerm = request.preVote() && granted ? from.term() : state.term;
+    RaftHeader requestHeader = request.header();
+    long responseTerm = request.preVote() && granted ? requestHeader.term() : state.term;
     RaftHeader header =
         new RaftHeader(
             state.group,
             state.id,
             state.incarnation,
-            from.from(),
-            from.fromIncarnation(),
+            requestHeader.from(),
+            requestHeader.fromIncarnation(),
             responseTerm);
     state.messagesAfterSync.add(new VoteResponse(header, request.preVote(), granted));
   }
 
-  /** Whether the candidate's log is at least as new as this one. */
+  /** Whether the candidate's log is at least as up to date as this one. */
   boolean isUpToDate(VoteRequest request) {
     boolean sameTerm = request.lastTerm() == state.log.lastTerm();
     return request.lastTerm() > state.log.lastTerm()
--- a/consensus/src/main/java/io/pathdeck/consensus/VoteTally.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/VoteTally.java
@@ -4,7 +4,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Counts the votes of one campaign; only incarnations that the configuration names count. */
+/**
+ * Counts the votes of one campaign; votes of incarnations outside the configuration are ignored.
+ */
 final class VoteTally {
   private final GroupConfiguration configuration;
   private final Set<Integer> granted = new HashSet<>();
--- a/consensus/src/main/java/io/pathdeck/consensus/package-info.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Replicated logs: a Raft-family protocol with pre-vote, check-quorum, leader leases, learners and
- * replica incarnations. The protocol is pure; storage and network are driven from outside.
+ * Replicated logs: Raft with pre-vote, check-quorum, leader leases, learners and replica
+ * incarnations. The protocol does no I/O itself; its caller drives storage and network.
  */
 package io.pathdeck.consensus;
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/DataFolder.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/DataFolder.java
@@ -13,8 +13,8 @@
 import java.util.Optional;
 
 /**
- * The folder that holds a process's durable state, and its incarnation: a random number written
- * with the folder, so that a folder that was lost and made again is told from the old one.
+ * The folder with the durable state of a process, and its incarnation: a random number stored in
+ * the folder when it is created, which distinguishes a recreated folder from the one that was lost.
  */
 public final class DataFolder {
   private static final String IDENTITY_FILE = "incarnation";
@@ -43,12 +43,11 @@
     }
   }
 
-  /** The folder's path. */
   public Path path() {
     return path;
   }
 
-  /** The number that tells this folder from any earlier one. */
+  /** The random number that distinguishes this folder from any earlier one. */
   public long incarnation() {
     return incarnation;
   }
@@ -63,7 +62,7 @@
     }
   }
 
-  /** Reads a small file of the folder; empty when it does not exist. */
+  /** Reads a small file of the folder; empty when it does not exist or cannot be read. */
   public Optional<String> readFile(String name) {
     Path file = path.resolve(name);
     try {
@@ -73,7 +72,10 @@
     }
   }
 
-  /** Writes a file so that after a crash it is either absent (or old) or whole. */
+  /**
+   * Writes a file durably and atomically: after a crash it has its old content, if any, or all of
+   * the new.
+   */
   static void writeDurably(Path target, byte[] content) throws IOException {
     Path temporary = target.resolveSibling(target.getFileName() + ".tmp");
     try (FileChannel channel =
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/FrameFormat.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/FrameFormat.java
@@ -18,7 +18,10 @@
     return frame.flip();
   }
 
-  /** Reads the frame at the buffer's position and moves past it; null when it is not intact. */
+  /**
+   * Reads the frame at the buffer's position and advances past it; returns null when it is not
+   * intact.
+   */
   static byte[] readFrame(ByteBuffer buffer) {
     int start = buffer.position();
     if (buffer.remaining() < HEADER_LENGTH || buffer.getLong(start) != MAGIC) {
@@ -26,8 +29,8 @@
     }
     int length = buffer.getInt(start + Long.BYTES);
     int checksum = buffer.getInt(start + Long.BYTES + Integer.BYTES);
-    boolean plausible = length >= 0 && length <= buffer.remaining() - HEADER_LENGTH;
-    if (!plausible) {
+    boolean validLength = length >= 0 && length <= buffer.remaining() - HEADER_LENGTH;
+    if (!validLength) {
       return null;
     }
     byte[] content = new byte[length];
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/RecoveredGroups.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/RecoveredGroups.java
@@ -26,7 +26,6 @@
 
   private final Map<Integer, Replay> groups = new HashMap<>();
 
-  /** Replays one record. */
   public void replay(LogRecord logRecord) {
     Replay replay = groups.computeIfAbsent(logRecord.group(), key -> new Replay());
     if (logRecord instanceof EntryRecord entry) {
@@ -53,7 +52,7 @@
     entries.add(entry);
   }
 
-  /** What was recovered for {@code group}, beside its newest snapshot. */
+  /** The state recovered for {@code group}, with the metadata of its newest snapshot. */
   public RecoveredState state(int group, Optional<SnapshotMetadata> snapshot) {
     Replay replay = groups.getOrDefault(group, new Replay());
     return new RecoveredState(
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SegmentedLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SegmentedLog.java
@@ -25,12 +25,12 @@
 import java.util.stream.Stream;
 
 /**
- * The one durable log of a process, shared by its groups so that one sync serves all of them.
+ * The durable log of a process, shared by its groups so that one sync covers all of them.
  *
- * <p>A batch is one checksummed frame, written and synced before the next batch is written. So a
- * broken frame with nothing intact behind it is a write that was cut off and never acknowledged: it
- * is truncated. A broken frame with an intact one behind it is damage to acknowledged data: the log
- * refuses to open. Confined to one thread.
+ * <p>Each batch is one checksummed frame, written and synced before the next batch. A damaged frame
+ * with no intact frame behind it is therefore a torn write that was never acknowledged, and is
+ * truncated. A damaged frame with an intact frame or a further segment behind it means that
+ * acknowledged data is damaged, and the log does not open. Confined to one thread.
  */
 public final class SegmentedLog implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(SegmentedLog.class);
@@ -54,12 +54,12 @@
     this.maxSegmentLength = maxSegmentLength;
   }
 
-  /** Opens the log, handing every recovered record to {@code replay} in order. */
+  /** Opens the log and passes every recovered record to {@code replay} in order. */
   public static Result<SegmentedLog, StorageError> open(Path folder, Consumer<LogRecord> replay) {
     return open(folder, MAX_SEGMENT_LENGTH, replay);
   }
 
-  /** Opens a log whose segments end after {@code maxSegmentLength} bytes. */
+  /** Opens a log that starts a new segment after {@code maxSegmentLength} bytes. */
   public static Result<SegmentedLog, StorageError> open(
       Path folder, long maxSegmentLength, Consumer<LogRecord> replay) {
     SegmentedLog log = new SegmentedLog(folder, maxSegmentLength);
@@ -156,7 +156,10 @@
     }
   }
 
-  /** Starts a segment with the terms, votes and bootstraps, so that older segments can go. */
+  /**
+   * Starts a segment with the current terms, votes and bootstrap configurations, so that older
+   * segments can be deleted.
+   */
   private void roll() throws IOException {
     if (channel != null) {
       channel.close();
@@ -164,10 +167,10 @@
     current = folder.resolve(String.format("%s%012d", PREFIX, nextSequence++));
     channel = FileChannel.open(current, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     segments.put(current, new HashMap<>());
-    List<LogRecord> heads = new ArrayList<>(bootstraps.values());
-    heads.addAll(hardStates.values());
-    if (!heads.isEmpty()) {
-      write(heads);
+    List<LogRecord> headRecords = new ArrayList<>(bootstraps.values());
+    headRecords.addAll(hardStates.values());
+    if (!headRecords.isEmpty()) {
+      write(headRecords);
       channel.force(false);
     }
     DataFolder.syncFolder(folder);
@@ -208,7 +211,7 @@
       Result<LogRecord, ObjectCodec.CodecError> logRecord =
           ObjectCodec.decode(encoded, LogRecord.class);
       if (!logRecord.isOk()) {
-        throw new IOException("a record cannot be decoded: " + logRecord.error().reason());
+        throw new IOException("cannot decode log record: " + logRecord.error().reason());
       }
       decoded.add(logRecord.value());
     }
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
@@ -21,7 +21,9 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** The snapshot files of all groups in a data folder; a file appears under its name when whole. */
+/**
+ * The snapshot files of all groups in a data folder. A file gets its final name only when complete.
+ */
 public final class SnapshotFiles {
   private static final int BUFFER_LENGTH = 1 << 16;
 
@@ -67,7 +69,7 @@
     deleteOlder(group, install.metadata().index());
   }
 
-  /** The newest snapshot of a group. */
+  /** The metadata of the newest snapshot of a group. */
   public Optional<SnapshotMetadata> newest(int group) throws IOException {
     Optional<Path> file = newestFile(group);
     if (file.isEmpty()) {
@@ -81,9 +83,10 @@
     throw new IOException(file.get() + " does not start with a header");
   }
 
-  /** The state records of the newest snapshot of a group, checked for completeness. */
+  /** Reads the state records of the newest snapshot of a group and checks that it is complete. */
   public Iterator<Object> read(int group) throws IOException {
-    Path file = newestFile(group).orElseThrow(() -> new IOException("no snapshot of " + group));
+    Path file =
+        newestFile(group).orElseThrow(() -> new IOException("no snapshot of group " + group));
     List<Object> records = new ArrayList<>();
     new RecordIterator(file).forEachRemaining(records::add);
     Object last = records.remove(records.size() - 1);
@@ -95,10 +98,11 @@
     return records.iterator();
   }
 
-  /** Reads up to {@code maxLength} bytes of the newest snapshot's file. */
+  /** Reads up to {@code maxLength} bytes of the newest snapshot's file, from {@code offset} on. */
   public Result<byte[], StorageError> readChunk(int group, long offset, int maxLength) {
     try {
-      Path file = newestFile(group).orElseThrow(() -> new IOException("no snapshot of " + group));
+      Path file =
+          newestFile(group).orElseThrow(() -> new IOException("no snapshot of group " + group));
       try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
         long remaining = Math.max(0, channel.size() - offset);
         ByteBuffer part = ByteBuffer.allocate((int) Math.min(maxLength, remaining));
@@ -113,7 +117,7 @@
     }
   }
 
-  /** The length of the newest snapshot's file, 0 when there is none. */
+  /** The length of the newest snapshot's file in bytes, 0 when there is none. */
   public long newestLength(int group) throws IOException {
     Optional<Path> file = newestFile(group);
     return file.isEmpty() ? 0 : Files.size(file.get());
@@ -171,7 +175,7 @@
     public Object next() {
       byte[] frame = FrameFormat.readFrame(content);
       if (frame == null) {
-        throw new IllegalStateException(file + " is damaged at " + content.position());
+        throw new IllegalStateException(file + " is damaged at offset " + content.position());
       }
       return ObjectCodec.decode(frame, Object.class).value();
     }
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/StorageError.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/StorageError.java
@@ -3,12 +3,12 @@
 /** Why the data folder cannot be used. */
 public sealed interface StorageError {
 
-  /** The operating system refused an operation. */
+  /** An I/O operation failed. */
   record Io(String operation, String reason) implements StorageError {}
 
   /**
-   * A record before the end of the log fails its checksum. Acknowledged data is lost, so the log is
-   * not used; the folder must be replaced, and the replica joins again under a new incarnation.
+   * A record before the tail of the log is damaged. Acknowledged data is lost, so the log is not
+   * opened; the folder must be replaced, and the replica joins again under a new incarnation.
    */
   record Damaged(String file, long offset) implements StorageError {}
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
@@ -14,11 +14,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Replicas joined by a network in memory whose disks sync at once, on a clock of their own. */
+/**
+ * Replicas connected by an in-memory network, with a simulated clock and disks that sync at once.
+ */
 final class InMemoryGroup {
   private static final int GROUP = 1;
 
-  /** How far each step takes the clock; a message takes one step. */
+  /** How far each step advances the clock; a message takes one step. */
   static final long STEP_MS = 10;
 
   private final MembershipPolicy policy;
@@ -26,7 +28,7 @@
   private final Map<Integer, Long> committed = new HashMap<>();
   private final Set<Integer> isolated = new HashSet<>();
 
-  /** How much less the clocks of replicas show that were suspended, and which are so now. */
+  /** By how much the clock of each replica is behind because of suspensions. */
   private final Map<Integer, Long> suspendedMs = new HashMap<>();
 
   private final Set<Integer> suspended = new HashSet<>();
@@ -37,7 +39,7 @@
     this.policy = policy;
   }
 
-  /** A group of three members that has elected a leader; one of them may be lost. */
+  /** A group that has elected a leader and tolerates the loss of one member. */
   static InMemoryGroup withLeader(Set<Integer> members) {
     InMemoryGroup group = new InMemoryGroup(MembershipPolicy.openTolerating(1));
     members.forEach(id -> group.start(id, id, members, members));
@@ -74,7 +76,7 @@
     isolated.remove(id);
   }
 
-  /** Stops a replica and its clock; what is sent to it is lost. */
+  /** Stops a replica and its clock; messages to it are lost. */
   void suspend(int id) {
     suspended.add(id);
   }
@@ -83,7 +85,7 @@
     suspended.remove(id);
   }
 
-  /** What the clock of a replica shows. */
+  /** The time on a replica's clock. */
   long nowMs(int id) {
     return nowMs - suspendedMs.getOrDefault(id, 0L);
   }
@@ -126,8 +128,8 @@
     network.addAll(ready.messages());
     long lastIndex = 0;
     long lastTerm = 0;
-    for (LogRecord written : ready.records()) {
-      if (written instanceof EntryRecord entry) {
+    for (LogRecord logRecord : ready.records()) {
+      if (logRecord instanceof EntryRecord entry) {
         lastIndex = entry.entry().index();
         lastTerm = entry.entry().term();
       }
@@ -147,7 +149,7 @@
         .findFirst();
   }
 
-  /** The ids that vote by the leader's committed configuration. */
+  /** The ids of the voters in the leader's committed configuration. */
   Set<Integer> voters() {
     Set<Integer> voters = new HashSet<>();
     GroupConfiguration configuration =
--- a/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Replicas joined by a {@link RateLimitedNetwork}, with disks that take a while to sync. */
+/** Replicas connected by a {@link RateLimitedNetwork}, with disks that take time to sync. */
 final class RateLimitedGroup {
   private static final int GROUP = 1;
   private static final long STEP_MS = 1;
@@ -24,7 +24,7 @@
 
   private record PendingSync(long doneAtMs, LogEntry last, List<RaftMessage> messages) {}
 
-  /** One replica, its syncs under way and what it was last seen to be. */
+  /** One replica, its pending syncs and whether it led in the last step. */
   private static final class Node {
     final RaftReplica replica;
     final Queue<PendingSync> syncs = new ArrayDeque<>();
@@ -41,7 +41,7 @@
   private long proposedBytes;
   private int elections;
 
-  /** Starts {@code size} voters, numbered from 1, whose timers differ by {@code seed}. */
+  /** Starts {@code size} voters, numbered from 1, with election timers seeded by {@code seed}. */
   RateLimitedGroup(int size, RateLimitedNetwork network, RaftSettings settings, long seed) {
     this.network = network;
     List<Member> members = new ArrayList<>();
@@ -84,10 +84,10 @@
     }
   }
 
-  /** Runs while a command of {@code commandBytes} is proposed every {@code intervalMs}. */
+  /** Runs the group and proposes a command of {@code commandBytes} every {@code intervalMs}. */
   void runUnderLoad(long durationMs, int commandBytes, long intervalMs) {
     byte[] command = new byte[commandBytes];
-    for (long spentMs = 0; spentMs < durationMs; spentMs += intervalMs) {
+    for (long elapsedMs = 0; elapsedMs < durationMs; elapsedMs += intervalMs) {
       propose(command);
       runFor(intervalMs);
     }
@@ -110,8 +110,8 @@
     ready.messages().forEach(message -> network.send(message, nowMs));
     if (ready.needsSync()) {
       LogEntry last = null;
-      for (LogRecord written : ready.records()) {
-        if (written instanceof EntryRecord entry) {
+      for (LogRecord logRecord : ready.records()) {
+        if (logRecord instanceof EntryRecord entry) {
           last = entry.entry();
         }
       }
@@ -124,11 +124,11 @@
     node.wasLeader = leads;
   }
 
-  /** Proposes to the leader; what is proposed while there is none is lost. */
+  /** Proposes a command to the leader; drops it when there is none. */
   private void propose(byte[] command) {
-    boolean taken =
+    boolean accepted =
         leader().map(leader -> leader.propose(command, nowMs).isPresent()).orElse(false);
-    if (taken) {
+    if (accepted) {
       proposedBytes += command.length;
     }
   }
@@ -141,7 +141,7 @@
         .max(Comparator.comparingLong(RaftReplica::term));
   }
 
-  /** The bytes of all commands that a leader took. */
+  /** The bytes of all commands that a leader accepted. */
   long proposedBytes() {
     return proposedBytes;
   }
--- a/consensus/src/test/java/io/pathdeck/consensus/RateLimitedNetwork.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedNetwork.java
@@ -11,9 +11,9 @@
 import java.util.PriorityQueue;
 
 /**
- * A network in memory on which every process has one outgoing and one incoming link of limited
- * rate. Each link is a queue: a message waits behind all that was handed to the link before it. A
- * message to a process for which too much is under way already is dropped, as the transport does.
+ * An in-memory network in which every process has one outgoing and one incoming link of limited
+ * rate. Each link is a FIFO queue. Like the transport, it drops a message when too many bytes are
+ * already in flight between the same two processes.
  */
 final class RateLimitedNetwork {
   private static final int MESSAGE_OVERHEAD_BYTES = 200;
@@ -35,18 +35,21 @@
           Comparator.comparingDouble(Transit::dueAtMs).thenComparing(Transit::order));
   private long nextOrder;
 
-  /** Joins processes by links of {@code bytesPerMs} each. */
+  /**
+   * Creates a network with links of {@code bytesPerMs} each that drops messages once {@code
+   * bufferBytes} are in flight between two processes.
+   */
   RateLimitedNetwork(double bytesPerMs, long bufferBytes) {
     this.bytesPerMs = bytesPerMs;
     this.bufferBytes = bufferBytes;
   }
 
-  /** Limits what reaches {@code id}. */
+  /** Limits the rate of the incoming link of {@code id}. */
   void limitIncoming(int id, double limitBytesPerMs) {
     incomingBytesPerMs.put(id, limitBytesPerMs);
   }
 
-  /** Hands a message to its sender's link. */
+  /** Queues a message on its sender's link. */
   void send(RaftMessage message, long nowMs) {
     Route route = routeOf(message);
     if (inFlightBytes.getOrDefault(route, 0L) >= bufferBytes) {
@@ -61,7 +64,7 @@
     transits.add(new Transit(doneMs + LATENCY_MS, nextOrder++, message, false));
   }
 
-  /** Takes the messages that have arrived by now. */
+  /** Removes and returns the messages that have arrived. */
   List<RaftMessage> takeArrived(long nowMs) {
     List<RaftMessage> arrived = new ArrayList<>();
     while (!transits.isEmpty() && transits.peek().dueAtMs() <= nowMs) {
--- a/consensus/src/test/java/io/pathdeck/consensus/TestLeadershipTransfer.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestLeadershipTransfer.java
@@ -7,11 +7,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A leader that stops as planned hands over, so that the group need not wait for an election. */
+/**
+ * A leader that stops as planned transfers leadership, so that the group does not wait for an
+ * election timeout.
+ */
 class TestLeadershipTransfer {
   private static final Set<Integer> MEMBERS = Set.of(1, 2, 3);
 
-  /** A few message delays; far below the shortest election timeout of 600 ms. */
+  /** A few message delays; far below the minimum election timeout of 600 ms. */
   private static final long TRANSFER_MS = 100;
 
   private static InMemoryGroup groupWithLeader() {
@@ -21,12 +24,12 @@
   @Test
   void successorLeadsWithinFewMessages() {
     InMemoryGroup group = groupWithLeader();
-    RaftReplica before = group.leader().orElseThrow();
-    assertThat(before.transferLeadership(group.nowMs())).isTrue();
+    RaftReplica oldLeader = group.leader().orElseThrow();
+    assertThat(oldLeader.transferLeadership(group.nowMs())).isTrue();
     group.runFor(2 * InMemoryGroup.STEP_MS);
-    group.isolate(idOf(group, before));
+    group.isolate(idOf(group, oldLeader));
     group.runFor(TRANSFER_MS);
-    assertThat(group.leader()).isPresent().get().isNotSameAs(before);
+    assertThat(group.leader()).isPresent().get().isNotSameAs(oldLeader);
     assertThat(group.propose(new byte[] {1})).isTrue();
   }
 
@@ -37,33 +40,33 @@
   @Test
   void newLeaderCommitsPendingEntries() {
     InMemoryGroup group = groupWithLeader();
-    RaftReplica before = group.leader().orElseThrow();
+    RaftReplica oldLeader = group.leader().orElseThrow();
     assertThat(group.propose(new byte[] {7})).isTrue();
-    long index = before.lastIndex();
-    assertThat(before.transferLeadership(group.nowMs())).isTrue();
+    long index = oldLeader.lastIndex();
+    assertThat(oldLeader.transferLeadership(group.nowMs())).isTrue();
     group.runFor(TRANSFER_MS);
-    assertThat(group.leader().orElseThrow()).isNotSameAs(before);
+    assertThat(group.leader().orElseThrow()).isNotSameAs(oldLeader);
     assertThat(group.leader().orElseThrow().commitIndex()).isGreaterThanOrEqualTo(index);
   }
 
   @Test
   void oldLeaderServesNothingAfterTransfer() {
     InMemoryGroup group = groupWithLeader();
-    RaftReplica before = group.leader().orElseThrow();
-    assertThat(before.readIndex(group.nowMs())).isPresent();
-    before.transferLeadership(group.nowMs());
-    assertThat(before.readIndex(group.nowMs())).isEmpty();
-    assertThat(before.propose(new byte[] {1}, group.nowMs())).isEmpty();
+    RaftReplica oldLeader = group.leader().orElseThrow();
+    assertThat(oldLeader.readIndex(group.nowMs())).isPresent();
+    oldLeader.transferLeadership(group.nowMs());
+    assertThat(oldLeader.readIndex(group.nowMs())).isEmpty();
+    assertThat(oldLeader.propose(new byte[] {1}, group.nowMs())).isEmpty();
   }
 
   @Test
   void transferFailsWithoutReachableSuccessor() {
     InMemoryGroup group = groupWithLeader();
-    RaftReplica before = group.leader().orElseThrow();
-    MEMBERS.stream().filter(id -> group.replica(id) != before).forEach(group::isolate);
+    RaftReplica oldLeader = group.leader().orElseThrow();
+    MEMBERS.stream().filter(id -> group.replica(id) != oldLeader).forEach(group::isolate);
     group.runFor(700);
-    assertThat(before.transferLeadership(group.nowMs())).isFalse();
-    assertThat(before.role()).isEqualTo(ReplicaRole.LEADER);
+    assertThat(oldLeader.transferLeadership(group.nowMs())).isFalse();
+    assertThat(oldLeader.role()).isEqualTo(ReplicaRole.LEADER);
   }
 
   @Test
@@ -91,12 +94,12 @@
     InMemoryGroup group = groupWithLeader();
     group.start(4, 4, Set.of(), MEMBERS);
     group.runFor(2_000);
-    RaftReplica before = group.leader().orElseThrow();
-    int leaving = before.leaderId();
+    RaftReplica oldLeader = group.leader().orElseThrow();
+    int leaving = oldLeader.leaderId();
     for (int id = 1; id <= 4; id++) {
       group.replica(id).setLeaving(Set.of(leaving));
     }
     group.runFor(2 * TRANSFER_MS);
-    assertThat(group.leader()).isPresent().get().isNotSameAs(before);
+    assertThat(group.leader()).isPresent().get().isNotSameAs(oldLeader);
   }
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/TestReplicationUnderLoad.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestReplicationUnderLoad.java
@@ -5,9 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * What replication costs on links of limited rate: a passing overload must not leave a lasting one.
- */
+/** Replication over rate-limited links: a temporary overload must not turn into a lasting one. */
 class TestReplicationUnderLoad {
   private static final int MEMBERS = 12;
   private static final int FOLLOWERS = MEMBERS - 1;
@@ -23,7 +21,7 @@
 
   private static final long BURST_MS = 3_000;
 
-  /** More than twice what a link without repeated sending needs to work off the burst. */
+  /** More than twice the time to drain the burst without retransmissions. */
   private static final long RECOVERY_MS = 8_000;
 
   private static final long OBSERVATION_MS = 10_000;
@@ -31,12 +29,12 @@
   /** How long an entry may take to be committed once the group has recovered. */
   private static final long COMMIT_MS = 200;
 
-  /** What the transport holds for one peer before it drops messages. */
+  /** How much the transport buffers for one peer before it drops messages. */
   private static final long BUFFER_BYTES = 1 << 20;
 
   private static final long UNLIMITED_BUFFER_BYTES = Long.MAX_VALUE;
 
-  /** How often each byte may be sent over the whole run, the burst included. */
+  /** How often each byte may be sent over the whole run, including the burst. */
   private static final double MAX_SENDS_PER_BYTE = 2;
 
   /** How often each byte may be sent once the group has recovered. */
--- a/consensus/src/test/java/io/pathdeck/consensus/TestSimultaneousCampaigns.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestSimultaneousCampaigns.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Replicas that campaign at the same moment agree on one of them, without a second round. */
+/** Replicas that campaign at the same time elect a leader without a second round. */
 class TestSimultaneousCampaigns {
   private static final Set<Integer> MEMBERS = Set.of(1, 2, 3);
   private static final long MIN_ELECTION_TIMEOUT_MS = RaftSettings.DEFAULT.electionTimeoutMinMs();
   private static final long MAX_ELECTION_TIMEOUT_MS = RaftSettings.DEFAULT.electionTimeoutMaxMs();
 
-  /** Two round trips of two steps each, and some steps more; far below an election timeout. */
+  /** Two round trips of two steps each plus some slack; far below an election timeout. */
   private static final long ELECTION_MS = 10 * InMemoryGroup.STEP_MS;
 
   private final InMemoryGroup group = InMemoryGroup.withLeader(MEMBERS);
--- a/consensus/src/test/java/io/pathdeck/consensus/TestSuspendedLeader.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestSuspendedLeader.java
@@ -6,12 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A leader whose machine is suspended: its steady clock stands still meanwhile.
- *
- * <p>Another member leads and has committed newer commands. The old leader wakes, its clock shows
- * that a quorum acknowledged it some milliseconds ago, and it would answer reads under its lease
- * with what was in force before. Evidence: without the doubt its read index is present 3 s after a
- * new leader committed.
+ * Guards against stale reads from a leader whose machine was suspended. Its monotonic clock stops
+ * meanwhile, so its lease looks valid after another member has committed newer commands.
  */
 class TestSuspendedLeader {
   private static final Set<Integer> MEMBERS = Set.of(1, 2, 3);
@@ -35,7 +31,7 @@
     suspendLeaderUntilReplaced();
     group.resume(oldLeaderId);
     assertThat(oldLeader.readIndex(group.nowMs(oldLeaderId)))
-        .as("why the doubt is needed")
+        .as("read index before the lease is invalidated")
         .isPresent();
   }
 
--- a/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What was synced is recovered; a torn tail is cut; damage before the tail is reported. */
+/**
+ * Synced records are recovered, a torn tail is truncated, and damage before the tail is reported.
+ */
 class TestSegmentedLog {
   private static final int BATCHES = 20;
 
--- a/state/src/main/java/io/pathdeck/state/BatchJob.java
+++ b/state/src/main/java/io/pathdeck/state/BatchJob.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A batch job: its items that wait and its results in the order in which they were listed. */
+/** A batch job: its open items, and its results in the order in which they were added. */
 public final class BatchJob {
   private final SubmitBatch submission;
   private final long submittedAtMs;
@@ -39,40 +39,43 @@
     return job;
   }
 
-  /** Whether {@code tenant} may see the job; without tenants on either side everybody may. */
+  /** Whether {@code tenant} may access the job; an empty tenant on either side matches any. */
   boolean belongsTo(String tenant) {
     String owner = submission.tenant();
     return owner.isEmpty() || tenant.isEmpty() || owner.equals(tenant);
   }
 
-  /** Records events of an open item; returns whether they follow what is recorded. */
+  /**
+   * Records events of an open item if they directly follow the recorded ones; returns whether they
+   * were recorded.
+   */
   boolean recordProgress(BatchProgress events) {
-    ItemProgress before = progress(events.itemId());
-    boolean follows = events.afterEvent() == before.lastEvent();
+    ItemProgress recorded = progress(events.itemId());
+    boolean follows = events.afterEvent() == recorded.lastEvent();
     if (!openItems.containsKey(events.itemId()) || !follows) {
       return false;
     }
-    progress.put(events.itemId(), before.plus(events.lastEvent(), events.text()));
+    progress.put(events.itemId(), recorded.plus(events.lastEvent(), events.text()));
     return true;
   }
 
   /**
-   * Lists an outcome; returns whether the item has one afterwards. The text of a whole item must
-   * follow what is recorded.
+   * Adds an outcome unless the item already has one. Returns false if the item remains open because
+   * the text of a completed item does not directly follow the recorded events.
    */
   boolean addOutcome(BatchOutcome outcome) {
     if (!openItems.containsKey(outcome.itemId())) {
       return true;
     }
-    ItemProgress before = progress(outcome.itemId());
+    ItemProgress recorded = progress(outcome.itemId());
     if (!outcome.done()) {
       addResult(new BatchResult(outcome.itemId(), false, ""));
       return true;
     }
-    if (outcome.afterEvent() != before.lastEvent()) {
+    if (outcome.afterEvent() != recorded.lastEvent()) {
       return false;
     }
-    String text = ItemProgress.join(before.text(), outcome.text());
+    String text = ItemProgress.join(recorded.text(), outcome.text());
     addResult(new BatchResult(outcome.itemId(), true, text));
     return true;
   }
@@ -104,7 +107,7 @@
     return submission;
   }
 
-  /** When it was accepted, in the time of the log. */
+  /** When the job was accepted, in log time. */
   public long submittedAtMs() {
     return submittedAtMs;
   }
@@ -114,12 +117,12 @@
     return openItems;
   }
 
-  /** What is recorded of an open item. */
+  /** The recorded progress of an open item. */
   public ItemProgress progress(String itemId) {
     return progress.getOrDefault(itemId, ItemProgress.NONE);
   }
 
-  /** The results by position. */
+  /** The results in the order in which they were added. */
   public List<BatchResult> results() {
     return results;
   }
@@ -129,17 +132,17 @@
     return submission.items().size();
   }
 
-  /** Whether the caller has ended it. */
+  /** Whether the caller has ended the job. */
   public boolean isEnded() {
     return ended;
   }
 
-  /** Whether anything of it may still run. */
+  /** Whether any item of the job may still run. */
   public boolean isActive() {
     return !ended && !openItems.isEmpty();
   }
 
-  /** The tokens of items that wait; none once the job has ended. */
+  /** The tokens of open items; 0 once the job has ended. */
   long queuedTokens() {
     return ended ? 0 : openTokens;
   }
--- a/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
@@ -36,14 +36,14 @@
 import java.util.Optional;
 
 /**
- * Batch jobs with their items and results.
+ * The state of a batch group: jobs with their items and results.
  *
- * <p>An item has one result at one position for as long as its job is kept: a second outcome of the
- * same item changes nothing. Commands are idempotent by the job's id, so resends need no stored
- * answers.
+ * <p>An item has at most one result, at a fixed position, as long as its job is kept; further
+ * outcomes are ignored. Commands are idempotent by the job's id, so their results need not be
+ * stored for resends.
  */
 public final class BatchStateMachine implements StateMachine {
-  /** How long a job that has nothing left to do is kept after its submission, in log time. */
+  /** How long an inactive job is kept after its submission, in log time. */
   static final long MIN_RETENTION_MS = 180_000;
 
   private final LogClock clock = new LogClock();
@@ -98,17 +98,17 @@
   }
 
   private CommandResult submit(SubmitBatch submit, long nowMs) {
-    BatchJob held = jobs.get(submit.jobId());
-    if (held != null) {
-      return held.belongsTo(submit.tenant())
+    BatchJob existing = jobs.get(submit.jobId());
+    if (existing != null) {
+      return existing.belongsTo(submit.tenant())
           ? new BatchAccepted(submit.jobId())
           : new Rejected(RejectionCode.CONFLICT, "another tenant has a job of this id");
     }
-    long waiting = queuedTokens(submit.tenant(), submit.route());
+    long queued = queuedTokens(submit.tenant(), submit.route());
     long added = submit.items().stream().mapToLong(BatchItem::tokens).sum();
     boolean limited = submit.maxQueuedTokens() > 0;
-    if (limited && waiting + added > submit.maxQueuedTokens()) {
-      return new QuotaExceeded(waiting, submit.maxQueuedTokens());
+    if (limited && queued + added > submit.maxQueuedTokens()) {
+      return new QuotaExceeded(queued, submit.maxQueuedTokens());
     }
     jobs.put(submit.jobId(), new BatchJob(submit, nowMs));
     return new BatchAccepted(submit.jobId());
@@ -168,7 +168,7 @@
     return new NotFound("not a query of a batch group");
   }
 
-  /** The job of this id; null when there is none, or when it is another tenant's. */
+  /** The job with this id, or null when there is none or the tenant may not access it. */
   private BatchJob visibleJob(String tenant, String jobId) {
     BatchJob job = jobs.get(jobId);
     return job != null && job.belongsTo(tenant) ? job : null;
--- a/state/src/main/java/io/pathdeck/state/ClaimTable.java
+++ b/state/src/main/java/io/pathdeck/state/ClaimTable.java
@@ -17,9 +17,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Claims of requests that must not run twice, kept for a day after the last change. */
+/** Claims of requests that must not run twice. */
 final class ClaimTable {
-  /** How long a claim and its answer are kept, in log time. */
+  /** How long a claim and its response are kept after the last change, in log time. */
   static final long RETENTION_MS = 24 * 60 * 60 * 1_000L;
 
   private final Map<String, ClaimRecord> claims = new LinkedHashMap<>();
--- a/state/src/main/java/io/pathdeck/state/DeclarationStore.java
+++ b/state/src/main/java/io/pathdeck/state/DeclarationStore.java
@@ -13,8 +13,8 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * A declaration, its version and its digest, changed by deltas. The meta group and every process
- * that follows the configuration hold one, so equal versions must have equal digests.
+ * A declaration with its version and digest, updated by deltas. The meta group and every process
+ * that follows the configuration keep a copy; equal versions must have equal digests.
  */
 public final class DeclarationStore {
   private static final LongHashFunction HASH = LongHashFunction.xx();
@@ -46,7 +46,7 @@
     version = newVersion;
   }
 
-  /** Forgets everything. */
+  /** Resets to the empty declaration at version 0. */
   public void clear() {
     tenants.clear();
     services.clear();
--- a/state/src/main/java/io/pathdeck/state/DedupTable.java
+++ b/state/src/main/java/io/pathdeck/state/DedupTable.java
@@ -9,9 +9,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Stored answers of commands, so that a resent command is answered alike and not run again. */
+/**
+ * Results of recent commands, so that a resent command gets the same result and is not executed
+ * again.
+ */
 final class DedupTable {
-  /** How long an answer is kept, in log time. */
+  /** How long a result is kept, in log time. */
   static final long RETENTION_MS = 15 * 60 * 1_000L;
 
   private static final int MAX_ENTRIES = 100_000;
--- a/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
@@ -33,14 +33,14 @@
 import java.util.Set;
 
 /**
- * The state of a fleet's configuration group: the routes under the highest version taken, the first
- * members of the groups that keep batch jobs, the stores that are being emptied, and the requests
- * that must not reach engines.
+ * The state of a fleet's configuration group: the route table with the highest version, the
+ * founding members of the groups that keep batch jobs, the stores that are being drained, and the
+ * requests that must not reach engines.
  *
- * <p>Every command is idempotent, so that a resent one needs no stored answer.
+ * <p>Every command is idempotent, so results need not be stored for resends.
  */
 public final class FleetStateMachine implements StateMachine {
-  /** About 60 bytes each; the oldest give way, so that a flood of them stays within 32 KB. */
+  /** Limits the list to about 32 KB, at about 60 bytes per request; the oldest are evicted. */
   private static final int MAX_QUARANTINED = 512;
 
   private final LogClock clock = new LogClock();
@@ -50,22 +50,22 @@
   private final LinkedHashSet<RequestFingerprint> quarantined = new LinkedHashSet<>();
   private long quarantineVersion;
 
-  /** The configuration held; empty before the first one. */
+  /** The route table; empty until the first one is stored. */
   public Optional<RouteTable> routeTable() {
     return Optional.ofNullable(routeTable);
   }
 
-  /** The groups that keep batch jobs with their first members; none before they were founded. */
+  /** The groups that keep batch jobs, with their founding members; empty until they are founded. */
   public List<JobsGroupFounders> jobsFounders() {
     return jobsFounders;
   }
 
-  /** The stores that are being emptied. */
+  /** The stores that are being drained. */
   public List<SetStoreLeaving> leavingStores() {
     return List.copyOf(leavingStores.values());
   }
 
-  /** The requests that must not reach engines, the oldest first. */
+  /** The requests that must not reach engines, oldest first. */
   public QuarantineList quarantine() {
     return new QuarantineList(quarantineVersion, List.copyOf(quarantined));
   }
@@ -108,7 +108,7 @@
       return new Done();
     }
     if (command instanceof QuarantineRequests added) {
-      quarantine(added.requests());
+      addToQuarantine(added.requests());
       return new Done();
     }
     if (command instanceof ReleaseRequests released) {
@@ -118,7 +118,7 @@
     return new Rejected(RejectionCode.INVALID, "not a command of the fleet group");
   }
 
-  private void quarantine(List<RequestFingerprint> added) {
+  private void addToQuarantine(List<RequestFingerprint> added) {
     if (!quarantined.addAll(added)) {
       return;
     }
@@ -130,9 +130,9 @@
     }
   }
 
-  private CommandResult putRouteTable(RouteTable sent) {
-    if (routeTable == null || sent.version() > routeTable.version()) {
-      routeTable = sent;
+  private CommandResult putRouteTable(RouteTable proposed) {
+    if (routeTable == null || proposed.version() > routeTable.version()) {
+      routeTable = proposed;
     }
     return new RouteTableHeld(routeTable.version());
   }
@@ -165,9 +165,9 @@
     quarantineVersion = QuarantineList.NONE.version();
     while (records.hasNext()) {
       Object record = records.next();
-      if (record instanceof QuarantineRecord held) {
-        quarantineVersion = held.quarantine().version();
-        quarantined.addAll(held.quarantine().requests());
+      if (record instanceof QuarantineRecord saved) {
+        quarantineVersion = saved.quarantine().version();
+        quarantined.addAll(saved.quarantine().requests());
       }
       if (record instanceof FleetRecord fleet) {
         clock.restore(fleet.clockMs());
--- a/state/src/main/java/io/pathdeck/state/ItemProgress.java
+++ b/state/src/main/java/io/pathdeck/state/ItemProgress.java
@@ -2,9 +2,9 @@
 
 import io.pathdeck.protocol.fleet.BatchProgress;
 
-/** The events of an open item that are recorded. */
+/** The recorded events of an open item. */
 public final class ItemProgress {
-  /** Nothing is recorded. */
+  /** No recorded events. */
   public static final ItemProgress NONE = new ItemProgress(BatchProgress.NO_EVENT, "");
 
   private final long lastEvent;
@@ -30,7 +30,7 @@
     return new ItemProgress(newLastEvent, join(text, moreText));
   }
 
-  /** Joins the data of events with that of the events after them. */
+  /** Joins the data of events with that of the events that follow them. */
   public static String join(String text, String moreText) {
     if (text.isEmpty() || moreText.isEmpty()) {
       return text + moreText;
--- a/state/src/main/java/io/pathdeck/state/Job.java
+++ b/state/src/main/java/io/pathdeck/state/Job.java
@@ -5,7 +5,7 @@
 import io.pathdeck.protocol.model.JobView;
 import java.util.BitSet;
 
-/** A batch job: its items, which of them wait, and their results. */
+/** A batch job: its items, which of them are waiting, and their results. */
 final class Job {
   private final JobSpec spec;
   private final StoredFile file;
@@ -85,7 +85,7 @@
     return failures.get(index);
   }
 
-  /** Takes the first waiting item; -1 when none waits. */
+  /** Marks the first waiting item as leased and returns its index; -1 when none is waiting. */
   int takeWaiting() {
     int index = waiting.nextSetBit(0);
     if (index >= 0) {
@@ -95,13 +95,13 @@
     return index;
   }
 
-  /** Counts an item that a lease holds, while a snapshot is restored; it may have a result. */
+  /** Marks an item as leased while a snapshot is restored; it may already have a result. */
   void restoreLeased(int index) {
     waiting.clear(index);
     leased++;
   }
 
-  /** A leased item's lease ended without a result: it waits again. */
+  /** Returns an item whose lease ended without a result to the waiting items. */
   void requeueItem(int index) {
     leased--;
     if (!status.isTerminal() && results[index] == null) {
@@ -109,7 +109,7 @@
     }
   }
 
-  /** A leased item's lease ended because its result is stored. */
+  /** Counts down the leased items without returning the item to the waiting ones. */
   void endLease() {
     leased--;
   }
@@ -131,7 +131,7 @@
     return true;
   }
 
-  /** Stores a result without any transition, while a snapshot is restored. */
+  /** Stores a result without checks and without changing the job's status. */
   void setResult(int index, byte[] line, boolean success) {
     results[index] = line;
     waiting.clear(index);
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Ends the job; no waiting item will run. */
+  /** Ends the job; waiting items will not run. */
   void finish(JobStatus terminal, long nowMs) {
     if (!status.isTerminal()) {
       status = terminal;
--- a/state/src/main/java/io/pathdeck/state/JobQueues.java
+++ b/state/src/main/java/io/pathdeck/state/JobQueues.java
@@ -9,19 +9,19 @@
 import java.util.TreeMap;
 
 /**
- * Jobs with waiting items, by service and tenant.
+ * Queues of jobs with waiting items, by service and tenant.
  *
- * <p>Tenants take turns, and so do the jobs of a tenant, each for a slice of items: a job of many
- * items delays a small one by no more than a slice.
+ * <p>Tenants are served round-robin, and so are the jobs of a tenant, with a limited number of
+ * items per turn, so that a large job delays a small one by at most one turn.
  */
 final class JobQueues {
-  /** The most items taken from one job in its turn. */
+  /** The maximum number of items taken from one job per turn. */
   private static final int MAX_ITEMS_PER_TURN = 8;
 
   private final Map<String, Map<String, ArrayDeque<Job>>> byService = new TreeMap<>();
 
   /** One item taken from a job. */
-  record Taken(Job job, int index) {}
+  record TakenItem(Job job, int index) {}
 
   void add(Job job) {
     byService
@@ -31,8 +31,8 @@
   }
 
   /** Takes up to {@code maxItems} items of a service; an empty tenant means any. */
-  List<Taken> take(String service, String tenant, int maxItems) {
-    List<Taken> taken = new ArrayList<>();
+  List<TakenItem> take(String service, String tenant, int maxItems) {
+    List<TakenItem> taken = new ArrayList<>();
     Map<String, ArrayDeque<Job>> tenants = byService.get(service);
     if (tenants == null) {
       return taken;
@@ -60,7 +60,7 @@
     return null;
   }
 
-  /** Brings the first job with waiting items to the head; jobs that have ended are dropped. */
+  /** Moves the first job with waiting items to the head and removes jobs that have ended. */
   private static Job firstWithWork(ArrayDeque<Job> jobs) {
     jobs.removeIf(job -> job.status().isTerminal());
     for (int i = 0; i < jobs.size(); i++) {
@@ -72,9 +72,9 @@
     return null;
   }
 
-  private static void takeItems(Job job, int count, List<Taken> taken) {
+  private static void takeItems(Job job, int count, List<TakenItem> taken) {
     for (int i = 0; i < count && job.hasWaiting(); i++) {
-      taken.add(new Taken(job, job.takeWaiting()));
+      taken.add(new TakenItem(job, job.takeWaiting()));
     }
   }
 
@@ -83,7 +83,7 @@
     tenants.put(tenant, jobs);
   }
 
-  /** The queues in their order, without the jobs that have ended. */
+  /** The queues in order, without the jobs that have ended. */
   List<Object> records() {
     List<Object> records = new ArrayList<>();
     byService.forEach(
--- a/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
+++ b/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
@@ -15,7 +15,7 @@
 import java.util.List;
 
 /**
- * Captures and restores a jobs partition.
+ * Captures and restores the state of a jobs partition.
  *
  * <p>Lines and results never change once stored, so a capture only copies references.
  */
@@ -58,13 +58,13 @@
       List<byte[]> lines = new ArrayList<>();
       List<Boolean> successes = new ArrayList<>();
       int end = Math.min(job.size(), first + RESULTS_PER_RECORD);
-      boolean any = false;
+      boolean hasResult = false;
       for (int index = first; index < end; index++) {
         lines.add(job.result(index));
         successes.add(!job.isFailure(index));
-        any |= job.result(index) != null;
+        hasResult |= job.result(index) != null;
       }
-      if (any) {
+      if (hasResult) {
         records.add(new ResultRecord(job.spec().jobId(), first, lines, successes));
       }
     }
--- a/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
@@ -41,12 +41,12 @@
 /**
  * The state of one jobs partition: files, jobs, results, leases, idempotency keys and claims.
  *
- * <p>Exactly once: an item has at most one result, the first that was committed; a lease only
- * decides who should run it. An item of a non-repeatable job that loses its lease gets a result
- * that says its outcome is unknown, and is never leased again.
+ * <p>An item has at most one result, the first that was committed; a lease only decides which
+ * dispatcher should run it. When the lease of an item of a non-repeatable job expires, the item
+ * gets a result with an unknown outcome and is never leased again.
  */
 public final class JobsStateMachine implements StateMachine {
-  /** How long files and ended jobs stay readable, in log time. */
+  /** How long files and ended jobs are kept, in log time. */
   public static final long RETENTION_MS = 7 * 24 * 60 * 60 * 1_000L;
 
   private static final long SWEEP_INTERVAL_MS = 1_000;
@@ -203,14 +203,14 @@
   // ---- items
 
   private CommandResult leaseItems(LeaseItems command, long nowMs) {
-    List<JobQueues.Taken> taken =
+    List<JobQueues.TakenItem> taken =
         queues.take(command.service(), command.tenant(), command.maxItems());
     if (taken.isEmpty()) {
       return new ItemsLeased(0, new ArrayList<>());
     }
     List<ItemRef> refs = new ArrayList<>();
     List<LeasedItem> items = new ArrayList<>();
-    for (JobQueues.Taken item : taken) {
+    for (JobQueues.TakenItem item : taken) {
       JobSpec spec = item.job().spec();
       refs.add(new ItemRef(spec.jobId(), item.index()));
       items.add(
@@ -292,7 +292,7 @@
     }
   }
 
-  /** Ends jobs past their completion window and forgets what is past its retention. */
+  /** Expires jobs past their completion window and removes jobs and files past their retention. */
   private void sweep(long nowMs) {
     if (nowMs < nextSweepMs) {
       return;
--- a/state/src/main/java/io/pathdeck/state/LeaseTable.java
+++ b/state/src/main/java/io/pathdeck/state/LeaseTable.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Leases of items to dispatchers. A lease id is never used twice. */
+/** Leases of items to dispatchers. Lease ids are never reused. */
 final class LeaseTable {
 
   /** A lease and its items that have no result yet. */
@@ -37,7 +37,7 @@
     return lease;
   }
 
-  /** Extends a lease; returns it, or null when it does not exist (any more). */
+  /** Extends a lease; returns null when it has ended or belongs to another dispatcher. */
   Lease renew(long leaseId, String dispatcherId, long expiresAtMs) {
     Lease lease = leases.get(leaseId);
     if (lease == null || !lease.dispatcherId.equals(dispatcherId)) {
@@ -47,7 +47,7 @@
     return lease;
   }
 
-  /** Takes an item out of its lease; returns whether the lease held it. */
+  /** Removes an item from its lease; returns whether the lease contained it. */
   boolean remove(long leaseId, ItemRef item) {
     Lease lease = leases.get(leaseId);
     if (lease == null || !lease.items.remove(item)) {
@@ -73,7 +73,7 @@
     return expired;
   }
 
-  /** Drops the items of a job from all leases; returns how many there were. */
+  /** Removes the items of a job from all leases; returns their number. */
   int dropJob(String jobId) {
     int dropped = 0;
     Iterator<Lease> iterator = leases.values().iterator();
--- a/state/src/main/java/io/pathdeck/state/LogClock.java
+++ b/state/src/main/java/io/pathdeck/state/LogClock.java
@@ -1,6 +1,6 @@
 package io.pathdeck.state;
 
-/** A clock that only moves forward, by the proposal times in the log. */
+/** A monotonic clock that is advanced by the proposal times in the log. */
 final class LogClock {
   private long nowMs;
 
--- a/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
@@ -25,9 +25,9 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The state of the meta group: the declaration under its version, and answers to resends. */
+/** The state of the meta group: the declaration and its version, and results of recent commands. */
 public final class MetaStateMachine implements StateMachine {
-  /** How many past deltas are kept to bring processes up to date without the whole declaration. */
+  /** How many past deltas are kept to update processes without sending the whole declaration. */
   private static final int MAX_DELTAS = 256;
 
   private static final DeclarationDelta NO_REMOVALS =
@@ -38,7 +38,7 @@
   private final DeclarationStore store = new DeclarationStore();
   private final TreeMap<Long, DeclarationDelta> deltas = new TreeMap<>();
 
-  /** The declaration with its version and digest; read on the state machine's thread. */
+  /** The declaration with its version and digest; to be read on the state machine's thread. */
   public DeclarationStore store() {
     return store;
   }
@@ -117,12 +117,12 @@
     }
   }
 
-  /** The delta that follows {@code version}, when it is still kept. */
+  /** The delta that follows {@code version}, if it is still kept. */
   public Optional<DeclarationDelta> deltaAfter(long version) {
     return Optional.ofNullable(deltas.get(version + 1));
   }
 
-  /** The whole declaration as a delta from nothing. */
+  /** The whole declaration as a delta from an empty one. */
   public DeclarationDelta fullDelta() {
     return new DeclarationDelta(
         store.declaration(),
--- a/state/src/main/java/io/pathdeck/state/PartitionIds.java
+++ b/state/src/main/java/io/pathdeck/state/PartitionIds.java
@@ -7,8 +7,8 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Identifiers that carry the jobs partition they belong to, for example {@code batch_03-9f...}, and
- * the choice of a partition for a key.
+ * Identifiers that contain the jobs partition they belong to, for example {@code batch_03-9f...},
+ * and the mapping of keys to partitions.
  */
 public final class PartitionIds {
   private static final Pattern SYNTAX = Pattern.compile("[a-z]+[-_](\\d{2})-[0-9a-f]{16,32}");
@@ -16,7 +16,6 @@
 
   private PartitionIds() {}
 
-  /** Builds an identifier. */
   public static String create(String prefix, int partition, long high, long low) {
     return String.format(Locale.ROOT, "%s%02d-%016x%016x", prefix, partition, high, low);
   }
--- a/state/src/main/java/io/pathdeck/state/StateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/StateMachine.java
@@ -19,7 +19,7 @@
   /** Applies a committed command. */
   CommandResult apply(CommandEnvelope envelope);
 
-  /** Whether something will expire, so that time must pass even without commands. */
+  /** Whether state will expire, so that time must advance even without other commands. */
   boolean needsTimeAdvance();
 
   /** Answers a read from the applied state. */
--- a/state/src/main/java/io/pathdeck/state/package-info.java
+++ b/state/src/main/java/io/pathdeck/state/package-info.java
@@ -1,2 +1,4 @@
-/** The replicated state machines: declaration (meta group) and jobs (jobs partitions). */
+/**
+ * The replicated state machines: declarations, jobs partitions, fleet configuration and batch jobs.
+ */
 package io.pathdeck.state;
--- a/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
@@ -25,8 +25,8 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Two leaders that do not know of each other run the same item. Whatever they propose, in whatever
- * order it is taken and whatever is lost, the result is the whole text or none.
+ * Two leaders that do not know of each other run the same item. However their proposals are
+ * interleaved or lost, the result is the complete text or none.
  */
 class TestBatchProgressProperties {
   private static final String JOB = "j";
@@ -36,7 +36,7 @@
 
   private BatchStateMachine machine;
 
-  /** A leader: where it stands, and what it has proposed and not yet seen taken or lost. */
+  /** A leader, its progress and its proposals that are neither applied nor lost. */
   private final class Leader {
     private final Deque<Command> proposed = new ArrayDeque<>();
     private long recordedEvent;
@@ -75,7 +75,7 @@
       }
     }
 
-    /** What was proposed is lost, and the leader begins again from what is recorded. */
+    /** Loses the proposals and resumes from the recorded progress. */
     void loseProposals() {
       proposed.clear();
       resume();
@@ -97,7 +97,7 @@
     return read.results();
   }
 
-  /** A new state machine with one job of one item, for each try. */
+  /** Creates a state machine with one job of one item; called for each try. */
   private void submit() {
     machine = new BatchStateMachine();
     BatchItem item = new BatchItem(ITEM, "/p", Map.of(), new byte[0], 10, 5);
@@ -115,8 +115,8 @@
     }
     ItemProgress progress = machine.job(JOB).orElseThrow().progress(ITEM);
     assertThat(progress.text()).isEqualTo(text(-1, progress.lastEvent()));
-    String whole = text(-1, LAST_EVENT);
-    assertThat(results()).allSatisfy(result -> assertThat(result.text()).isEqualTo(whole));
+    String complete = text(-1, LAST_EVENT);
+    assertThat(results()).allSatisfy(result -> assertThat(result.text()).isEqualTo(complete));
     assertThat(results()).hasSizeLessThan(2);
   }
 
--- a/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
@@ -102,26 +102,24 @@
     return records;
   }
 
-  /**
-   * The defect behind it: a restored replica leased other items than one that had never stopped.
-   */
+  /** Guards against a restored replica that leases other items than one that never stopped. */
   @Property(tries = 150, seed = "21")
   void restoredReplicaMatchesOriginal(
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed,
       @ForAll @IntRange(min = 0, max = 200) int restoredAt) {
-    JobsStateMachine whole = new JobsStateMachine();
+    JobsStateMachine original = new JobsStateMachine();
     JobsStateMachine restored = new JobsStateMachine();
     List<CommandEnvelope> commands = randomLog(seed, 200);
     for (int i = 0; i < commands.size(); i++) {
       if (i == restoredAt) {
         restored = new JobsStateMachine();
-        restored.restoreSnapshot(whole.captureSnapshot());
+        restored.restoreSnapshot(original.captureSnapshot());
       }
-      CommandResult answer = whole.apply(commands.get(i));
+      CommandResult answer = original.apply(commands.get(i));
       CommandResult restoredAnswer = restored.apply(commands.get(i));
       assertThat(ObjectCodec.encode(restoredAnswer)).isEqualTo(ObjectCodec.encode(answer));
     }
-    List<Object> expected = records(whole);
+    List<Object> expected = records(original);
     List<Object> actual = records(restored);
     for (int i = 0; i < expected.size(); i++) {
       assertThat(ObjectCodec.encode(actual.get(i)))
@@ -131,7 +129,6 @@
     assertThat(actual).hasSameSizeAs(expected);
   }
 
-  /** An item that has a result is never leased again. */
   @Property(tries = 150, seed = "22")
   void finishedItemIsNeverLeased(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     JobsStateMachine machine = new JobsStateMachine();
