--- a/consensus/src/main/java/io/pathdeck/consensus/CampaignType.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/CampaignType.java
@@ -1,6 +1,6 @@
 package io.pathdeck.consensus;
 
-/** The reason for which a replica requests votes. */
+/** The kind of a campaign. */
 enum CampaignType {
   /** Checks whether the replica could win, without starting a term. */
   PRE_VOTE,
--- a/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
@@ -36,7 +36,7 @@
    * Starts the timer.
    *
    * @param processStartMs when the process started, or later. An earlier process acknowledged no
-   *     leader after this time, so the time since then counts towards the minimum election timeout
+   *     leader after this time, so the time since then counts toward the minimum election timeout
    */
   ElectionTimer(RaftSettings settings, long seed, long processStartMs, long nowMs) {
     this.settings = settings;
@@ -97,7 +97,7 @@
     return nowMs < refuseVotesUntilMs;
   }
 
-  /** Whether no leader was heard for longer than an election should take. */
+  /** Whether no leader was heard from for longer than an election should take. */
   boolean isLeaderLost(long nowMs) {
     return nowMs >= refuseVotesUntilMs + settings.electionTimeoutMaxMs();
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/Elections.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Elections.java
@@ -8,19 +8,19 @@
   private final ReplicaState state;
   private final ElectionTimer timer;
   private final VoteMessages messages;
-  private final HardState ballot;
+  private final HardState hardState;
   private VoteTally votes;
 
   Elections(ReplicaState state, ElectionTimer timer, int votedFor) {
     this.state = state;
     this.timer = timer;
     this.messages = new VoteMessages(state);
-    this.ballot = new HardState(state, votedFor);
+    this.hardState = new HardState(state, votedFor);
   }
 
   /** Starts a newer term, in which this replica has not voted. */
   void beginTerm(long term) {
-    ballot.beginTerm(term, RecoveredState.NO_REPLICA);
+    hardState.beginTerm(term, RecoveredState.NO_REPLICA);
   }
 
   /** Discards the votes of a finished campaign. */
@@ -38,7 +38,7 @@
     if (campaign == CampaignType.PRE_VOTE) {
       timer.onPreVoteRequested(nowMs);
     } else {
-      ballot.beginTerm(state.term + 1, state.id);
+      hardState.beginTerm(state.term + 1, state.id);
       timer.reset(nowMs);
     }
     votes = new VoteTally(state.log.configuration());
@@ -90,9 +90,9 @@
    */
   void answerVote(VoteRequest request, boolean isFollower, long nowMs) {
     int candidate = request.header().from();
-    boolean granted = isFollower && ballot.canVoteFor(candidate) && messages.isUpToDate(request);
+    boolean granted = isFollower && hardState.canVoteFor(candidate) && messages.isUpToDate(request);
     if (granted) {
-      ballot.voteFor(candidate);
+      hardState.voteFor(candidate);
       timer.reset(nowMs);
     }
     messages.respond(request, granted);
--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -16,8 +16,8 @@
 /** What a replica keeps track of while it leads: the progress of the members and join requests. */
 final class LeaderState {
   /**
-   * The maximum retransmission timeout. It is short enough that a member that was unreachable for a
-   * long time catches up within two seconds.
+   * The maximum retransmission timeout; short enough that a member that was unreachable for long
+   * catches up within two seconds.
    */
   private static final long MAX_RETRANSMIT_MS = 1_600;
 
@@ -78,10 +78,11 @@
   }
 
   /**
-   * Rewinds a member to its last acknowledged entry when the retransmission timeout has expired.
+   * Rewinds a member to {@link FollowerProgress#resendFrom} when entries sent to it were not
+   * acknowledged within the retransmission timeout.
    *
    * <p>This depends on indexes and not on the number of messages in flight, since an
-   * acknowledgement of earlier entries does not show that a later message was lost. The timeout
+   * acknowledgement of earlier entries does not show that a later message arrived. The timeout
    * doubles while there is no progress; otherwise a slow member would be sent the same entries
    * repeatedly, which keeps a saturated link saturated.
    */
--- a/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** The work of a replica while it leads, and the members it has to remove. */
+/** The leader role of a replica: its lease, its replicator and the members it has to remove. */
 final class Leadership {
   /** What a leader does when a heartbeat is due. */
   enum LeaderAction {
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
@@ -113,7 +113,8 @@
   }
 
   /**
-   * The highest index known to be synced on a member; only the leader knows it of other members.
+   * The highest index known to be synced on a member; 0 for other members while this replica does
+   * not lead.
    */
   public long matchIndex(int memberId) {
     if (memberId == state.id) {
@@ -155,8 +156,7 @@
    * Steps down and tells the most up-to-date voter to campaign immediately.
    *
    * <p>The leader steps down before the message is sent, so it no longer serves reads under its
-   * lease. Entries that wait for a quorum were sent to the successor earlier, over the same
-   * connection.
+   * lease. Uncommitted entries were sent to the successor earlier, over the same connection.
    *
    * @return whether a successor was found; otherwise nothing changes
    */
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -32,7 +32,7 @@
     return leaderState.matchIndex(memberId);
   }
 
-  /** The time since the send time that a quorum last acknowledged. */
+  /** The age of the latest message that a quorum has acknowledged. */
   long quorumSilenceMs(long nowMs) {
     return nowMs - leaderState.quorumAcknowledgedMs(nowMs);
   }
--- a/consensus/src/test/java/io/pathdeck/consensus/TestElectionTimer.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestElectionTimer.java
@@ -55,22 +55,22 @@
   @Test
   void preVoteIsRetriedSoonDuringStartup() {
     ElectionTimer timer = new ElectionTimer(SETTINGS, 1, START_MS, START_MS + MAX_MS);
-    long askedMs = START_MS + 2 * MAX_MS;
-    timer.onPreVoteRequested(askedMs);
-    assertThat(timer.isExpired(askedMs + 149)).isFalse();
-    assertThat(timer.isExpired(askedMs + 450)).isTrue();
+    long requestedAtMs = START_MS + 2 * MAX_MS;
+    timer.onPreVoteRequested(requestedAtMs);
+    assertThat(timer.isExpired(requestedAtMs + 149)).isFalse();
+    assertThat(timer.isExpired(requestedAtMs + 450)).isTrue();
   }
 
   @Test
   void preVoteRetryWaitsFullTimeoutAfterStartup() {
-    ElectionTimer heard = new ElectionTimer(SETTINGS, 1, START_MS, START_MS);
-    heard.onLeaderHeard(START_MS);
-    heard.onPreVoteRequested(START_MS + MAX_MS);
-    assertThat(heard.isExpired(START_MS + MAX_MS + MIN_MS - 1)).isFalse();
-    ElectionTimer old = new ElectionTimer(SETTINGS, 1, START_MS, START_MS);
+    ElectionTimer afterLeaderContact = new ElectionTimer(SETTINGS, 1, START_MS, START_MS);
+    afterLeaderContact.onLeaderHeard(START_MS);
+    afterLeaderContact.onPreVoteRequested(START_MS + MAX_MS);
+    assertThat(afterLeaderContact.isExpired(START_MS + MAX_MS + MIN_MS - 1)).isFalse();
+    ElectionTimer afterStartup = new ElectionTimer(SETTINGS, 1, START_MS, START_MS);
     long laterMs = START_MS + 3 * MAX_MS;
-    old.onPreVoteRequested(laterMs);
-    assertThat(old.isExpired(laterMs + MIN_MS - 1)).isFalse();
+    afterStartup.onPreVoteRequested(laterMs);
+    assertThat(afterStartup.isExpired(laterMs + MIN_MS - 1)).isFalse();
   }
 
   @Test
--- a/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
@@ -69,7 +69,7 @@
     for (int cut = 1; cut < 40; cut += 3) {
       Files.write(segment, Arrays.copyOf(content, content.length - cut));
       deleteOtherSegments(segment);
-      assertThat(recover()).as("cut by %d", cut).hasSize(2 * (BATCHES - 1));
+      assertThat(recover()).as("truncated by %d bytes", cut).hasSize(2 * (BATCHES - 1));
     }
   }
 
