--- a/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What was synced is recovered; a torn tail is cut; damage before the tail is reported. */
+/**
+ * Synced records are recovered, a torn tail is truncated, and damage before the tail is reported.
+ */
 class TestSegmentedLog {
   private static final int BATCHES = 20;
 
@@ -67,7 +69,7 @@
     for (int cut = 1; cut < 40; cut += 3) {
       Files.write(segment, Arrays.copyOf(content, content.length - cut));
       deleteOtherSegments(segment);
-      assertThat(recover()).as("cut by %d", cut).hasSize(2 * (BATCHES - 1));
+      assertThat(recover()).as("truncated by %d bytes", cut).hasSize(2 * (BATCHES - 1));
     }
   }
 
