--- a/fleet/src/main/java/io/pathdeck/fleet/FleetSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/FleetSettings.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 
 /**
- * What every process of a fleet is told.
+ * Settings that all processes of a fleet have.
  *
- * @param name the machine's name, one of its own for each
- * @param listen where other processes reach this one
- * @param seeds coordinators as they stood when the settings were written
+ * @param name the unique name of the machine
+ * @param listen the address at which other processes reach this one
+ * @param seeds addresses of coordinators to contact first
  * @param toleratedLosses how many machines with data may be lost at once
- * @param limitWindowMs the span over which tenants' limits on requests hold
+ * @param limitWindowMs time window of the tenants' rate limits
  * @param peerCompression which frames to other processes are compressed
- * @param metricsListen where the process serves its metrics; empty when it does not
+ * @param metricsListen the address that serves metrics; empty if they are not served
  */
 public record FleetSettings(
     String name,
@@ -36,7 +36,7 @@
   private static final double MAX_LIMIT_WINDOW_S = 3_600;
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Reads the common part of a role's settings. */
+  /** Reads the settings that all roles share. */
   public static FleetSettings read(SettingsReader reader) {
     int seedPort = reader.integer("seed_port", 0, 0, MAX_PORT);
     List<HostPort> seeds =
@@ -77,12 +77,12 @@
         reader.integer("compress_peer_frames_from_bytes", 0, 0, MAX_COMPRESS_FROM_BYTES));
   }
 
-  /** The addresses of the seeds. */
+  /** Returns the addresses of the seeds. */
   public List<String> seedAddresses() {
     return seeds.stream().map(HostPort::toString).toList();
   }
 
-  /** The number of members at which a group still has a quorum after the tolerated losses. */
+  /** Returns the size from which a group still has a quorum after the tolerated losses. */
   public int minMembers() {
     return 2 * toleratedLosses + 1;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerProtocol.java
@@ -6,17 +6,17 @@
 import io.pathdeck.serving.http.HttpExchange;
 import java.util.List;
 
-/** Reads callers' requests and writes answers for them. */
+/** Parses the requests of callers and encodes responses to them. */
 public interface CallerProtocol {
-  /** What the exchange asks for. */
+  /** Parses the request of an exchange. */
   CallerRequest read(HttpExchange exchange);
 
-  /** The path of the readiness check. */
+  /** Returns the path of the readiness check. */
   String readinessPath();
 
-  /** The items of a batch job, or why they cannot be read. */
+  /** Parses the items of a batch job, or returns an error message. */
   Result<List<BatchItem>, String> readItems(byte[] body);
 
-  /** Results as JSON. */
+  /** Encodes results as JSON. */
   byte[] writeResults(BatchResults results);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerRequest.java
@@ -3,20 +3,20 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** What a caller asks a gateway for. */
+/** A request of a caller to a gateway. */
 public sealed interface CallerRequest {
 
   /**
    * A request to be matched against the routes.
    *
-   * @param requestId the caller's id of this attempt; empty when it gave none
-   * @param path the path without the query, as routes see it
-   * @param deadlineMs how long the caller waits; 0 when it did not say
-   * @param resumeAfter the last event the caller has; -1 when it starts from the beginning
-   * @param promptTokens the tokens of the prompt; 0 when not stated
-   * @param outputTokens the most tokens out; 0 when not stated
-   * @param key what the caller proves its tenant with; empty when it sent none
-   * @param headers what is passed on to an engine
+   * @param requestId the caller's id of this attempt; empty if not given
+   * @param path the path without the query, as matched by routes
+   * @param deadlineMs how long the caller waits; 0 if not given
+   * @param resumeAfter the last event that the caller has; -1 to start from the beginning
+   * @param promptTokens number of tokens in the prompt; 0 if not given
+   * @param outputTokens maximum number of output tokens; 0 if not given
+   * @param key the API key of the caller's tenant; empty if not given
+   * @param headers the headers to forward to an engine
    */
   record Routed(
       String requestId,
@@ -37,12 +37,12 @@
   /** Reads results of a batch job. */
   record ReadResults(String jobId, int from, long waitMs, String key) implements CallerRequest {}
 
-  /** Reads the body of an item that waits. */
+  /** Reads the body of a waiting item. */
   record ReadItem(String jobId, String itemId, String key) implements CallerRequest {}
 
   /** Ends a batch job. */
   record EndJob(String jobId, String key) implements CallerRequest {}
 
-  /** Not a call of this protocol. */
+  /** A request that is not valid in this protocol. */
   record Malformed(String reason) implements CallerRequest {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads and answers the question where to go. */
+/** Parses queries for the addresses of gateways and encodes the responses. */
 public interface DirectoryProtocol {
 
-  /** Where the asker stands; empty when it does not say. */
+  /** A query for gateways near a zone; the zone is empty if not given. */
   record Query(String zone) {}
 
-  /** What the exchange asks; empty when it is another call. */
+  /** Parses the query of an exchange; empty if it is not a query. */
   Optional<Query> read(HttpExchange exchange);
 
-  /** The answer: addresses and how long they may be used. */
+  /** Encodes addresses and how long they are valid. */
   byte[] write(List<String> addresses, long validSeconds);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
@@ -5,13 +5,13 @@
 import io.pathdeck.protocol.fleet.EngineInstance;
 
 /**
- * One request to one engine.
+ * A request to one engine.
  *
- * @param uri the path with the query, as the caller sent it
- * @param tenant what the engine is told of the request's tenant
- * @param headers what is passed on
+ * @param uri the path with the query, as sent by the caller
+ * @param tenant how the tenant is passed to the engine
+ * @param headers the headers to forward
  * @param deadlineMs how long the engine may work
- * @param resumeAfter the last event that is already held; -1 to start from the beginning
+ * @param resumeAfter the last event that was already received; -1 to start from the beginning
  */
 public record EngineCall(
     EngineInstance engine,
@@ -24,10 +24,10 @@
     byte[] body,
     long deadlineMs,
     long resumeAfter) {
-  /** The id of a call that is no caller's request. */
+  /** The request id of a call that carries no request of a caller. */
   public static final String NO_REQUEST_ID = "";
 
-  /** Whether this is a request of a caller or an item of a job. */
+  /** Whether the call carries a request of a caller or an item of a job. */
   public boolean hasRequestId() {
     return !requestId.equals(NO_REQUEST_ID);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineListProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineListProtocol.java
@@ -4,20 +4,20 @@
 import io.pathdeck.protocol.fleet.EngineInstance;
 import java.util.List;
 
-/** Reads the list of engines, page by page. */
+/** Parses the pages of the list of engines. */
 public interface EngineListProtocol {
 
   /**
    * A page of the list.
    *
-   * @param nextPage names the page that follows; null on the last one
-   * @param rejected why entries name no engine, one line each
+   * @param nextPage the id of the next page; null on the last one
+   * @param rejected the reasons why entries were rejected, one line each
    */
   record Page(List<EngineInstance> engines, String nextPage, List<String> rejected) {}
 
-  /** The path of a page; {@code page} is null for the first one. */
+  /** Returns the path of a page; {@code page} is null for the first one. */
   String path(String page);
 
-  /** Reads a page, or says why it cannot be read. */
+  /** Parses a page, or returns an error message. */
   Result<Page, String> read(byte[] body);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
@@ -3,31 +3,31 @@
 import io.pathdeck.protocol.fleet.EngineInstance;
 
 /**
- * An engine's load as it says itself.
+ * The load that an engine reports.
  *
- * @param running requests that run
- * @param waiting requests that wait
- * @param slots requests that it can run at once; 0 when it does not say
- * @param bornMs when the life of the engine that reports began; {@link EngineInstance#BORN_UNKNOWN}
- *     when it does not say
- * @param pacePercent how long work takes there at this moment, 100 is as usual; {@link
- *     #PACE_UNKNOWN} when it does not say
+ * @param running number of running requests
+ * @param waiting number of waiting requests
+ * @param slots number of requests that can run at once; 0 if not reported
+ * @param bornMs when the reporting engine process started; {@link EngineInstance#BORN_UNKNOWN} if
+ *     not reported
+ * @param pacePercent current duration of work in percent of the usual one; {@link #PACE_UNKNOWN} if
+ *     not reported
  */
 public record EngineLoadReport(int running, int waiting, int slots, long bornMs, int pacePercent) {
-  /** The pace of an engine that does not tell it. */
+  /** The pace of an engine that does not report it. */
   public static final int PACE_UNKNOWN = 0;
 
-  /** A report of an engine that does not tell its pace. */
+  /** Creates a report without a pace. */
   public EngineLoadReport(int running, int waiting, int slots, long bornMs) {
     this(running, waiting, slots, bornMs, PACE_UNKNOWN);
   }
 
-  /** A report of an engine that says neither when its life began nor its pace. */
+  /** Creates a report without a start time and a pace. */
   public EngineLoadReport(int running, int waiting, int slots) {
     this(running, waiting, slots, EngineInstance.BORN_UNKNOWN);
   }
 
-  /** Whether the engine says how long work takes there now: it shares its machine with others. */
+  /** Whether the engine reports its pace, as engines do that share their machine with others. */
   public boolean hasPace() {
     return pacePercent != PACE_UNKNOWN;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineProtocol.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.Optional;
 
-/** Writes requests for engines and reads their answers. */
+/** Encodes requests to engines and parses their responses. */
 public interface EngineProtocol {
-  /** The request that carries a call. */
+  /** Encodes a call. */
   FullHttpRequest write(EngineCall call);
 
-  /** The head of an answer. */
+  /** Parses the head of a response. */
   EngineResponse read(HttpResponse head);
 
-  /** The path at which an engine reports its load. */
+  /** Returns the path at which an engine reports its load. */
   String reportPath();
 
-  /** The load in the body of a report; empty when it cannot be read. */
+  /** Parses the body of a load report; empty if it is invalid. */
   Optional<EngineLoadReport> readReport(byte[] body);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineResponse.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineResponse.java
@@ -3,15 +3,15 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The head of an engine's answer.
+ * The status and headers of an engine's response.
  *
- * @param requestId the request that it answers; empty when it does not say
- * @param signed whether it bears an engine's signature
- * @param notRun the engine promises that the request did not run
- * @param wrongInstance another engine answered than the one that was meant
- * @param load the engine's load; null when it does not say
- * @param idleTimeoutMs how long the engine keeps an idle connection; 0 when it does not say
- * @param headers what is passed back to the caller
+ * @param requestId the request that was answered; empty if not given
+ * @param signed whether the response carries the signature of an engine
+ * @param notRun whether the engine guarantees that the request did not run
+ * @param wrongInstance whether another engine answered than the one that was addressed
+ * @param load the load of the engine; null if not given
+ * @param idleTimeoutMs how long the engine keeps an idle connection open; 0 if not given
+ * @param headers the headers to return to the caller
  */
 public record EngineResponse(
     int status,
@@ -26,7 +26,7 @@
   private static final int MIN_SUCCESS_STATUS = 200;
   private static final int MIN_REDIRECT_STATUS = 300;
 
-  /** Whether the engine did what it was asked for. */
+  /** Whether the status is a success. */
   public boolean isSuccess() {
     return status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineTenant.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineTenant.java
@@ -1,17 +1,17 @@
 package io.pathdeck.fleet.adapter;
 
-/** What an engine is told of the tenant whose request it gets. */
+/** How the tenant of a request is passed to an engine. */
 public sealed interface EngineTenant {
-  /** The fleet has no tenants: what the caller sent stays. */
+  /** The fleet has no tenants: what the caller sent is forwarded unchanged. */
   record PassThrough() implements EngineTenant {}
 
-  /** No tenant is told, whatever the caller sent. */
+  /** No tenant is sent, whatever the caller sent. */
   record Anonymous() implements EngineTenant {}
 
-  /** The tenant of this name, whatever the caller sent. */
+  /** The tenant of this name is sent, whatever the caller sent. */
   record Named(String name) implements EngineTenant {}
 
-  /** The tenant of a batch job; {@code owner} is empty when the fleet had none. */
+  /** Returns the tenant of a batch job; {@code owner} is empty if the fleet had no tenants. */
   static EngineTenant ofOwner(String owner) {
     return owner.isEmpty() ? new PassThrough() : new Named(owner);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/FleetAdapter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/FleetAdapter.java
@@ -2,24 +2,24 @@
 
 import java.util.ServiceLoader;
 
-/** The languages of the surroundings in which a fleet runs. */
+/** The protocols of the platform on which a fleet runs. */
 public interface FleetAdapter {
-  /** What callers speak. */
+  /** Returns the protocol of callers. */
   CallerProtocol callers();
 
-  /** What engines speak. */
+  /** Returns the protocol of engines. */
   EngineProtocol engines();
 
-  /** What operators speak. */
+  /** Returns the protocol of operators. */
   OperatorProtocol operators();
 
-  /** What the list of engines speaks. */
+  /** Returns the protocol of the list of engines. */
   EngineListProtocol engineList();
 
-  /** What askers of the directory speak. */
+  /** Returns the protocol of the directory of gateways. */
   DirectoryProtocol directory();
 
-  /** The one adapter on the class path. */
+  /** Loads the only adapter on the class path. */
   static FleetAdapter load() {
     return ServiceLoader.load(FleetAdapter.class)
         .findFirst()
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorProtocol.java
@@ -2,11 +2,11 @@
 
 import io.pathdeck.serving.http.HttpExchange;
 
-/** Reads operators' calls and writes answers for them. */
+/** Parses the requests of operators and encodes responses to them. */
 public interface OperatorProtocol {
-  /** What the exchange asks for. */
+  /** Parses the request of an exchange. */
   OperatorRequest read(HttpExchange exchange);
 
-  /** The answer to how far a store is emptied. */
+  /** Encodes whether a store has been retired. */
   byte[] writeRetirement(boolean done);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorRequest.java
@@ -2,24 +2,24 @@
 
 import io.pathdeck.protocol.fleet.RouteTable;
 
-/** What an operator asks a coordinator for. */
+/** A request of an operator to a coordinator. */
 public sealed interface OperatorRequest {
 
-  /** Sends a configuration that was read and checked. */
+  /** Sets the configuration. */
   record PutRoutes(RouteTable table) implements OperatorRequest {}
 
   /** Reads the configuration. */
   record ReadRoutes() implements OperatorRequest {}
 
-  /** Asks for a store to be emptied. */
+  /** Starts to retire a store. */
   record RetireStore(String name) implements OperatorRequest {}
 
-  /** Asks how far a store is emptied. */
+  /** Reads whether a store has been retired. */
   record ReadRetirement(String name) implements OperatorRequest {}
 
-  /** What was sent is invalid. */
+  /** The request is invalid. */
   record Invalid(String reason) implements OperatorRequest {}
 
-  /** Not a call of this protocol. */
+  /** Not a request of this protocol. */
   record Unknown() implements OperatorRequest {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/package-info.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the fleet needs translated: the languages of callers, engines, operators and of the list of
- * engines. An adapter holds names, formats and calls; every decision is made by its callers.
+ * The protocols of callers, engines, operators, the directory and the list of engines. An adapter
+ * defines names, formats and calls; all decisions are made by the code that calls it.
  */
 package io.pathdeck.fleet.adapter;
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
@@ -44,9 +44,12 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/** A coordinator: keeps configuration and membership, serves operators and the directory. */
+/**
+ * A coordinator process: replicates the configuration, tracks the members of the fleet, and serves
+ * operators and the directory of gateways.
+ */
 public final class CoordinatorProcess implements FleetMemberProcess {
-  /** The number of the group that keeps the fleet's configuration. */
+  /** Number of the replicated group that stores the fleet configuration. */
   public static final int FLEET_GROUP = 0;
 
   private static final EventLog EVENTS = EventLog.of(CoordinatorProcess.class);
@@ -54,7 +57,7 @@
   private static final long MAX_SEGMENT_BYTES = 8L * 1024 * 1024;
   private static final String FOUNDERS_FILE = "founders";
 
-  /** How long a stop waits for calls in progress; longer than an operator's call may take. */
+  /** Longest wait for calls in progress at shutdown; longer than an operator call can take. */
   private static final long DRAIN_TIMEOUT_MS = OperatorEndpoint.CALL_TIMEOUT_MS + 100;
 
   private static final HttpLimits HTTP_LIMITS =
@@ -70,7 +73,7 @@
     this.settings = settings;
   }
 
-  /** Recovers the data folder and starts. */
+  /** Recovers the data folder and starts the process. */
   public static Result<CoordinatorProcess, StorageError> start(
       CoordinatorSettings settings, TransportTls tls, FleetAdapter adapter) {
     Result<DataFolder, StorageError> folder = DataFolder.open(settings.dataFolder());
@@ -92,43 +95,46 @@
     resources.push(eventLoops::shutdownGracefully);
     EventLoop eventLoop = eventLoops.next();
     PeerPool pool = resources.push(new PeerPool(eventLoops, tls, fleet.peerCompression()));
-    Set<String> contacts = new HashSet<>(founders.value());
-    contacts.addAll(fleet.seedAddresses());
-    contacts.forEach(address -> pool.learn(MemberIds.of(address), address));
+    Set<String> contactAddresses = new HashSet<>(founders.value());
+    contactAddresses.addAll(fleet.seedAddresses());
+    contactAddresses.forEach(address -> pool.learn(MemberIds.of(address), address));
     FleetStateMachine state = new FleetStateMachine();
-    Result<ReplicaHost, StorageError> host =
-        ReplicaHost.open(replicaOptions(state, founders.value(), contacts), folder, pool);
-    if (!host.isOk()) {
-      return Result.err(host.error());
+    Result<ReplicaHost, StorageError> opened =
+        ReplicaHost.open(replicaOptions(state, founders.value(), contactAddresses), folder, pool);
+    if (!opened.isOk()) {
+      return Result.err(opened.error());
     }
-    this.host = host.value();
-    startServices(host.value(), state, folder, eventLoops, eventLoop, pool, tls, adapter);
+    this.host = opened.value();
+    startServices(opened.value(), state, folder, eventLoops, eventLoop, pool, tls, adapter);
     return Result.ok(null);
   }
 
-  /** The first members of the group, for a process of the first start; kept for a restart. */
+  /**
+   * Returns the initial members of the group, which are saved at the first start of the system;
+   * empty for a coordinator that joined later.
+   */
   private Result<Set<String>, StorageError> loadFounders(DataFolder folder) {
     Optional<String> stored = folder.readFile(FOUNDERS_FILE);
     if (stored.isEmpty() && settings.firstStart()) {
-      String list = String.join(",", settings.fleet().seedAddresses());
-      Result<Void, StorageError> written = folder.writeFile(FOUNDERS_FILE, list);
+      String addresses = String.join(",", settings.fleet().seedAddresses());
+      Result<Void, StorageError> written = folder.writeFile(FOUNDERS_FILE, addresses);
       if (!written.isOk()) {
         return Result.err(written.error());
       }
-      stored = Optional.of(list);
+      stored = Optional.of(addresses);
     }
     return Result.ok(
-        stored.map(list -> Set.copyOf(Arrays.asList(list.split(",")))).orElse(Set.of()));
+        stored.map(addresses -> Set.copyOf(Arrays.asList(addresses.split(",")))).orElse(Set.of()));
   }
 
   private ReplicaHost.Options replicaOptions(
-      FleetStateMachine state, Set<String> founders, Set<String> contacts) {
+      FleetStateMachine state, Set<String> founders, Set<String> contactAddresses) {
     FleetSettings fleet = settings.fleet();
     String address = fleet.listen().toString();
     JoinSettings join =
         new JoinSettings(
             founders.contains(address) ? memberIds(founders) : Set.of(),
-            memberIds(contacts),
+            memberIds(contactAddresses),
             address,
             MembershipPolicy.openTolerating(fleet.toleratedLosses()));
     return new ReplicaHost.Options(
@@ -145,8 +151,8 @@
   }
 
   /**
-   * Opens what gateways and callers wait for first, then what operators use: on a small machine
-   * each takes a part of the start.
+   * Starts the services of gateways and callers before those of operators, since each takes a
+   * noticeable part of the startup on a small machine.
    */
   private void startServices(
       ReplicaHost host,
@@ -191,9 +197,9 @@
             (message, reply) -> route(message, reply, host, membership[0])));
     resources.push(host);
     host.start(membership[0]);
-    GatewaySelector naming = new GatewaySelector(settings.namedGatewaysShare());
+    GatewaySelector selector = new GatewaySelector(settings.namedGatewaysShare());
     DirectoryEndpoint directory =
-        new DirectoryEndpoint(adapter.directory(), follower::view, naming);
+        new DirectoryEndpoint(adapter.directory(), follower::view, selector);
     serve(settings.directoryListen(), eventLoops, directory::handle);
     resources.push(follower);
     follower.start();
@@ -208,7 +214,7 @@
         host::status,
         pool,
         resources,
-        registry -> GatewaySelectionMetrics.bind(registry, follower::view, naming));
+        registry -> GatewaySelectionMetrics.bind(registry, follower::view, selector));
     logStarted(self);
   }
 
@@ -227,7 +233,10 @@
         self.incarnation());
   }
 
-  /** Keeps what a leader told; what another coordinator knew last may be older than the file. */
+  /**
+   * Saves only what a leader confirmed: the last-known state of another coordinator may be older
+   * than the file.
+   */
   private static void saveIfConfirmed(
       FleetView view, FleetFollower follower, LastKnownFleet lastKnown) {
     if (follower.isConfirmed()) {
@@ -256,7 +265,7 @@
     } else if (message instanceof AdmissionRequest request) {
       host.execute(() -> membership.onAdmission(request, reply));
     } else if (message instanceof EngineEndNotice notice) {
-      host.execute(() -> membership.onEngineEnds(notice, reply));
+      host.execute(() -> membership.onEngineCrashes(notice, reply));
     } else {
       host.handle(message, reply);
     }
@@ -273,7 +282,7 @@
     EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", changed.seedAddresses());
   }
 
-  /** Stops as planned: another coordinator leads, and calls in progress are answered first. */
+  /** Shuts down gracefully: hands over the leadership and finishes calls in progress. */
   @Override
   public void close() {
     EVENTS.log(EventCode.PROCESS_STOPPING, "role", "coordinator", "id", settings.fleet().name());
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
@@ -8,13 +8,14 @@
 import java.nio.file.Path;
 
 /**
- * The settings of a coordinator.
+ * Settings of a coordinator.
  *
- * @param operatorsListen where operators connect
- * @param directoryListen where callers ask where to go
+ * @param operatorsListen address that serves operators
+ * @param directoryListen address that serves the directory of gateways to callers
  * @param firstStart whether this is the first start of the whole system, on empty disks
- * @param namedGatewaysShare the part of many ready gateways that callers are told of
- * @param engineList where the list of engines is read
+ * @param namedGatewaysShare fraction of the ready gateways that the directory lists if there are
+ *     many
+ * @param engineList address that serves the list of engines
  */
 public record CoordinatorSettings(
     FleetSettings fleet,
@@ -28,14 +29,14 @@
   private static final int DEFAULT_ENGINE_LIST_INTERVAL_MS = 800;
 
   /**
-   * With half of 47 gateways a crest of 458 requests a second is 19 at each, 4 ms of a core each.
+   * Few enough that each gateway gets sufficient requests to stay warm, and enough for peak load.
    */
   private static final double DEFAULT_NAMED_SHARE = 0.5;
 
   private static final double MIN_NAMED_SHARE = 0.05;
   private static final double MAX_NAMED_SHARE = 1;
 
-  /** Reads and checks the settings. */
+  /** Reads and validates the settings. */
   public static Result<CoordinatorSettings, SettingsError> read(SettingsReader reader) {
     CoordinatorSettings settings =
         new CoordinatorSettings(
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/DirectoryEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/DirectoryEndpoint.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Tells callers which gateways to use: those of their own zone while there are enough of them. */
+/** Lists gateways for callers: those of their own zone if enough of them are ready. */
 final class DirectoryEndpoint {
   private static final int MAX_ADDRESSES = 64;
   private static final int MIN_GATEWAYS_IN_ZONE = 2;
@@ -22,19 +22,20 @@
   private final Supplier<FleetView> view;
   private final GatewaySelector selector;
 
-  DirectoryEndpoint(DirectoryProtocol protocol, Supplier<FleetView> view, GatewaySelector naming) {
+  DirectoryEndpoint(
+      DirectoryProtocol protocol, Supplier<FleetView> view, GatewaySelector selector) {
     this.protocol = protocol;
     this.view = view;
-    this.selector = naming;
+    this.selector = selector;
   }
 
   void handle(HttpExchange exchange) {
-    Optional<DirectoryProtocol.Query> question = protocol.read(exchange);
-    if (question.isEmpty()) {
+    Optional<DirectoryProtocol.Query> query = protocol.read(exchange);
+    if (query.isEmpty()) {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
       return;
     }
-    List<String> addresses = selectAddresses(question.get().zone());
+    List<String> addresses = selectAddresses(query.get().zone());
     if (addresses.isEmpty()) {
       exchange.sendError(ApiError.unavailable("no_gateway", "no gateway is ready", 1_000));
     } else {
@@ -43,22 +44,23 @@
   }
 
   private List<String> selectAddresses(String zone) {
-    List<FleetProcess> near = new ArrayList<>();
-    List<FleetProcess> all = new ArrayList<>();
+    List<FleetProcess> inZone = new ArrayList<>();
+    List<FleetProcess> ready = new ArrayList<>();
     for (FleetProcess gateway : view.get().withRole(FleetRole.GATEWAY)) {
       if (!gateway.ready()) {
         continue;
       }
-      all.add(gateway);
+      ready.add(gateway);
       if (gateway.zone().equals(zone)) {
-        near.add(gateway);
+        inZone.add(gateway);
       }
     }
-    List<String> chosen = new ArrayList<>();
-    for (FleetProcess gateway : selector.select(near.size() >= MIN_GATEWAYS_IN_ZONE ? near : all)) {
-      chosen.add(gateway.serviceAddress());
+    List<String> addresses = new ArrayList<>();
+    for (FleetProcess gateway :
+        selector.select(inZone.size() >= MIN_GATEWAYS_IN_ZONE ? inZone : ready)) {
+      addresses.add(gateway.serviceAddress());
     }
-    Collections.shuffle(chosen);
-    return chosen.size() > MAX_ADDRESSES ? chosen.subList(0, MAX_ADDRESSES) : chosen;
+    Collections.shuffle(addresses);
+    return addresses.size() > MAX_ADDRESSES ? addresses.subList(0, MAX_ADDRESSES) : addresses;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Reads the list of engines again and again while this coordinator leads; on one event loop. */
+/** Polls the list of engines while this coordinator leads. All state belongs to one event loop. */
 final class EngineListPoller {
   private static final EventLog EVENTS = EventLog.of(EngineListPoller.class);
   private static final long CALL_TIMEOUT_MS = 900;
   private static final long RETRY_DELAY_MS = 300;
   private static final int MAX_PAGES = 1_000;
 
-  /** About 100 bytes each. */
+  /** Limits the memory for reasons, about 100 bytes each. */
   private static final int MAX_LOGGED_REJECTIONS = 256;
 
   private final EventLoop eventLoop;
@@ -49,29 +49,33 @@
     this.listener = listener;
   }
 
-  /** Begins or ends to poll. Thread-safe. */
-  void setPolling(boolean on) {
+  /** Starts or stops polling. Thread-safe. */
+  void setPolling(boolean enabled) {
     eventLoop.execute(
         () -> {
-          polling = on;
+          polling = enabled;
           generation++;
-          if (on) {
+          if (enabled) {
             readPage(generation, null, new ArrayList<>(), 1);
           }
         });
   }
 
-  private void readPage(long ofRound, String page, List<EngineInstance> read, int pages) {
-    if (!polling || ofRound != generation) {
+  private void readPage(
+      long pollGeneration, String pageId, List<EngineInstance> engines, int pageCount) {
+    if (!polling || pollGeneration != generation) {
       return;
     }
     fetcher
-        .get(address, protocol.path(page), CALL_TIMEOUT_MS)
-        .thenAccept(result -> onPage(ofRound, result, read, pages));
+        .get(address, protocol.path(pageId), CALL_TIMEOUT_MS)
+        .thenAccept(result -> onPage(pollGeneration, result, engines, pageCount));
   }
 
   private void onPage(
-      long ofRound, Result<byte[], String> result, List<EngineInstance> read, int pages) {
+      long pollGeneration,
+      Result<byte[], String> result,
+      List<EngineInstance> engines,
+      int pageCount) {
     Result<EngineListProtocol.Page, String> page =
         result.isOk() ? protocol.read(result.value()) : Result.err(result.error());
     if (!page.isOk()) {
@@ -79,22 +83,22 @@
         EVENTS.log(EventCode.ENGINE_LIST_UNREACHABLE, "address", address, "reason", page.error());
       }
       reachable = false;
-      scheduleNext(ofRound, RETRY_DELAY_MS);
+      scheduleNext(pollGeneration, RETRY_DELAY_MS);
       return;
     }
     reachable = true;
     page.value().rejected().forEach(this::logRejectedOnce);
-    read.addAll(page.value().engines());
+    engines.addAll(page.value().engines());
     String next = page.value().nextPage();
-    if (next != null && pages < MAX_PAGES) {
-      readPage(ofRound, next, read, pages + 1);
+    if (next != null && pageCount < MAX_PAGES) {
+      readPage(pollGeneration, next, engines, pageCount + 1);
     } else {
-      listener.accept(read);
-      scheduleNext(ofRound, intervalMs);
+      listener.accept(engines);
+      scheduleNext(pollGeneration, intervalMs);
     }
   }
 
-  /** An entry that stays in the list is told once, as long as few others come. */
+  /** Logs each reason once, until {@link #MAX_LOGGED_REJECTIONS} different ones were logged. */
   private void logRejectedOnce(String reason) {
     if (loggedRejections.size() >= MAX_LOGGED_REJECTIONS) {
       loggedRejections.clear();
@@ -104,8 +108,8 @@
     }
   }
 
-  private void scheduleNext(long ofRound, long pauseMs) {
+  private void scheduleNext(long pollGeneration, long delayMs) {
     eventLoop.schedule(
-        () -> readPage(ofRound, null, new ArrayList<>(), 1), pauseMs, TimeUnit.MILLISECONDS);
+        () -> readPage(pollGeneration, null, new ArrayList<>(), 1), delayMs, TimeUnit.MILLISECONDS);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
@@ -32,20 +32,20 @@
 import java.util.stream.Collectors;
 
 /**
- * What the leader of the coordinators knows of the processes and engines; runs on the thread of the
- * consensus duty.
+ * Tracks the processes and engines of the fleet on the leading coordinator; runs on the consensus
+ * thread.
  *
- * <p>This knowledge is not replicated: a new leader collects it anew under its own term, and sends
- * no list before it had the time to hear of everybody.
+ * <p>This state is not replicated: a new leader collects it again under its own term, and sends no
+ * list of processes until all of them had time to report.
  */
 final class FleetMembership implements ConsensusExtension {
-  /** How long a process may be silent before the others are told that it is gone. */
+  /** Silence after which a process is reported as gone. */
   private static final long PROCESS_TIMEOUT_MS = 1_500;
 
-  /** How long a new leader listens before it tells who is there. */
+  /** How long a new leader collects heartbeats before it sends the list of processes. */
   private static final long COLLECTION_PERIOD_MS = 1_000;
 
-  /** How long no further store may have come before the groups of jobs are founded. */
+  /** How long no new founder may have appeared before the jobs groups are founded. */
   private static final long FOUNDING_SETTLE_MS = 700;
 
   private static final EventLog EVENTS = EventLog.of(FleetMembership.class);
@@ -73,10 +73,10 @@
   /**
    * Creates the membership of a coordinator that can answer from now on.
    *
-   * @param minStores how many stores a group of jobs needs at least
-   * @param limitWindowMs the span over which tenants' limits hold
-   * @param leadershipListener hears when this coordinator begins or ends to lead
-   * @param lastKnown what this coordinator knew before its restart
+   * @param minStores minimum number of stores in a jobs group
+   * @param limitWindowMs time window of the tenants' rate limits
+   * @param leadershipListener called when this coordinator starts or stops leading
+   * @param lastKnown the fleet state saved before the restart of this coordinator
    */
   FleetMembership(
       GroupRuntime group,
@@ -141,28 +141,29 @@
   // ---- heartbeats
 
   /**
-   * Answers a heartbeat when this coordinator can tell that it leads. While no leader is known, a
-   * process that no leader has told the fleet gets what this coordinator knew last.
+   * Answers a heartbeat after confirming that this coordinator leads. While no leader is known, a
+   * process without a list from a leader gets the last-known state.
    */
   void onHeartbeat(FleetHeartbeat heartbeat, ReplySink reply) {
     long nowMs = clock.monotonicMs();
     if (isLeaderUnknown()) {
-      Optional<FleetUpdate> told = lastKnown.answerWithoutLeader(heartbeat, nowMs);
-      if (told.isPresent()) {
-        replyLastKnown(heartbeat, told.get(), reply);
+      Optional<FleetUpdate> saved = lastKnown.answerWithoutLeader(heartbeat, nowMs);
+      if (saved.isPresent()) {
+        replyLastKnown(heartbeat, saved.get(), reply);
         return;
       }
     }
     group.readLinearizably(() -> answer(heartbeat, reply), reply, nowMs);
   }
 
-  private static void replyLastKnown(FleetHeartbeat heartbeat, FleetUpdate told, ReplySink reply) {
-    if (told.routes() != null) {
+  private static void replyLastKnown(
+      FleetHeartbeat heartbeat, FleetUpdate update, ReplySink reply) {
+    if (update.routes() != null) {
       String process = heartbeat.sender().name();
-      long version = told.routes().version();
+      long version = update.routes().version();
       EVENTS.log(EventCode.LAST_KNOWN_TOLD, "process", process, "version", version);
     }
-    reply.reply(told);
+    reply.reply(update);
   }
 
   private boolean isLeaderUnknown() {
@@ -214,8 +215,8 @@
   }
 
   private void recordFounder(FleetProcess sender, long nowMs) {
-    FleetProcess known = founders.put(sender.memberId(), sender);
-    if (known == null || known.incarnation() != sender.incarnation()) {
+    FleetProcess previous = founders.put(sender.memberId(), sender);
+    if (previous == null || previous.incarnation() != sender.incarnation()) {
       newestFounderMs = nowMs;
     }
   }
@@ -223,12 +224,12 @@
   /** Decides on one request of a contended tenant. */
   void onAdmission(AdmissionRequest request, ReplySink reply) {
     long nowMs = clock.monotonicMs();
-    boolean allHeard = leading && nowMs - leaderSinceMs >= COLLECTION_PERIOD_MS;
-    reply.reply(tenants.decide(request, allHeard, nowMs));
+    boolean collectionDone = leading && nowMs - leaderSinceMs >= COLLECTION_PERIOD_MS;
+    reply.reply(tenants.decide(request, collectionDone, nowMs));
   }
 
-  /** Takes what a process noticed of engines that ended. */
-  void onEngineEnds(EngineEndNotice notice, ReplySink reply) {
+  /** Handles a notice of engine crashes. */
+  void onEngineCrashes(EngineEndNotice notice, ReplySink reply) {
     quarantine.onNotice(notice, reply, clock.monotonicMs());
   }
 
@@ -236,7 +237,10 @@
     return state.leavingStores().stream().map(SetStoreLeaving::memberId).toList();
   }
 
-  /** The group that a store is to keep; a new leader waits until all could report theirs. */
+  /**
+   * Returns the group that a store belongs to; a new leader assigns none until all stores had time
+   * to report theirs.
+   */
   private int groupFor(FleetProcess sender, long nowMs) {
     if (sender.role() != FleetRole.STORE || nowMs - leaderSinceMs < COLLECTION_PERIOD_MS) {
       return sender.jobsGroup();
@@ -256,8 +260,8 @@
       return;
     }
     foundingProposed = true;
-    List<JobsGroupFounders> first = JobsGroupFounding.form(founders.values(), minStores);
-    for (JobsGroupFounders founded : first) {
+    List<JobsGroupFounders> groups = JobsGroupFounding.form(founders.values(), minStores);
+    for (JobsGroupFounders founded : groups) {
       EVENTS.log(
           EventCode.JOBS_GROUP_FOUNDED,
           "group",
@@ -265,15 +269,15 @@
           "members",
           founded.configuration().members());
     }
-    group.propose("", 0, new FoundJobsGroups(first), reply -> {}, clock);
+    group.propose("", 0, new FoundJobsGroups(groups), reply -> {}, clock);
   }
 
   private RouteTable routesFor(FleetHeartbeat heartbeat) {
-    RouteTable held = state.routeTable().orElse(null);
-    if (held == null || held.version() <= heartbeat.routeVersion()) {
+    RouteTable current = state.routeTable().orElse(null);
+    if (current == null || current.version() <= heartbeat.routeVersion()) {
       return null;
     }
-    return held.withoutDocument();
+    return current.withoutDocument();
   }
 
   private EngineListDelta enginesFor(FleetHeartbeat heartbeat, long nowMs) {
@@ -298,7 +302,7 @@
 
   // ---- engines
 
-  /** Takes over the list of engines as it was just read; {@code readInEpoch} must still hold. */
+  /** Applies the list of engines as it was just read; ignored unless this coordinator leads. */
   void onEngineList(List<EngineInstance> listed) {
     if (!leading) {
       return;
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelectionMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelectionMetrics.java
@@ -10,37 +10,40 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** How many gateways callers of all zones are told of, as a metric of a coordinator. */
+/** Gauges of the number of gateways that a coordinator lists for callers, over all zones. */
 final class GatewaySelectionMetrics {
   private static final String METRIC_NAME = "pathdeck.gateways.named";
   private static final String RULE_TAG = "by";
 
   private GatewaySelectionMetrics() {}
 
-  /** Publishes the counts of what {@code naming} names of the gateways in {@code view}. */
-  static void bind(MeterRegistry registry, Supplier<FleetView> view, GatewaySelector naming) {
-    bind(registry, "size", () -> countSelected(gateways(view.get()), naming, true));
-    bind(registry, "order", () -> countSelected(gateways(view.get()), naming, false));
+  /** Registers gauges of the gateways that {@code selector} selects from {@code view}. */
+  static void bind(MeterRegistry registry, Supplier<FleetView> view, GatewaySelector selector) {
+    bind(registry, "size", () -> countSelected(gateways(view.get()), selector, true));
+    bind(registry, "order", () -> countSelected(gateways(view.get()), selector, false));
   }
 
-  /** Holds {@code count}, of which nobody else keeps a reference. */
-  private static void bind(MeterRegistry registry, String by, Supplier<Number> count) {
-    Gauge.builder(METRIC_NAME, count).tag(RULE_TAG, by).strongReference(true).register(registry);
+  /** Registers a gauge with a strong reference, since nothing else references {@code count}. */
+  private static void bind(MeterRegistry registry, String rule, Supplier<Number> count) {
+    Gauge.builder(METRIC_NAME, count).tag(RULE_TAG, rule).strongReference(true).register(registry);
   }
 
   private static List<FleetProcess> gateways(FleetView view) {
     return view.withRole(FleetRole.GATEWAY);
   }
 
-  /** The gateways named in the zones whose gateways differ in size, or in those where not. */
-  static int countSelected(List<FleetProcess> gateways, GatewaySelector naming, boolean bySize) {
+  /**
+   * Counts the gateways selected in zones where sizes differ, or in the other zones if {@code
+   * bySize} is false.
+   */
+  static int countSelected(List<FleetProcess> gateways, GatewaySelector selector, boolean bySize) {
     Map<String, List<FleetProcess>> readyByZone =
         gateways.stream()
             .filter(FleetProcess::ready)
             .collect(Collectors.groupingBy(FleetProcess::zone));
     return readyByZone.values().stream()
         .filter(zone -> GatewaySelector.differInSize(zone) == bySize)
-        .mapToInt(zone -> naming.select(zone).size())
+        .mapToInt(zone -> selector.select(zone).size())
         .sum();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/HttpFetcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/HttpFetcher.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Fetches small documents over HTTP, each on a connection of its own. */
+/** Fetches small documents over HTTP, each on its own connection. */
 final class HttpFetcher {
   private static final int MAX_DOCUMENT_LENGTH = 8 * 1024 * 1024;
   private static final int CONNECT_TIMEOUT_MS = 500;
@@ -36,7 +36,9 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Gets {@code path}; the future completes on the event loop with the body or a reason. */
+  /**
+   * Gets {@code path}; the future completes on the event loop with the body or an error message.
+   */
   CompletableFuture<Result<byte[], String>> get(HostPort address, String path, long timeoutMs) {
     CompletableFuture<Result<byte[], String>> outcome = new CompletableFuture<>();
     ChannelFuture connecting =
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupFounding.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupFounding.java
@@ -13,17 +13,17 @@
 import java.util.TreeMap;
 
 /**
- * Forms the groups that keep batch jobs out of the first stores.
+ * Divides the initial stores into the groups that replicate batch jobs.
  *
- * <p>A group has one member more than it needs to bear the tolerated losses, so that one can be
- * emptied at any time. It has no more than that, however many stores there are: its leader sends
- * every byte to each other member, and every member's disk holds the whole of it. More stores make
- * more groups instead. Stores beyond the groups wait as replacements.
+ * <p>A group has one member more than it needs to tolerate the configured losses, so that one store
+ * can be retired at any time. It has no more than that: its leader sends every byte to each other
+ * member, and every disk holds all data of the group. More stores make more groups instead; surplus
+ * stores wait as replacements.
  */
 final class JobsGroupFounding {
   private JobsGroupFounding() {}
 
-  /** How many stores a group should have. */
+  /** Returns the number of stores that a group should have. */
   static int targetSize(int minMembers) {
     return minMembers + 1;
   }
@@ -31,13 +31,13 @@
   /**
    * Forms as many groups as there are stores for, each over as many zones as possible.
    *
-   * @param minMembers the fewest members with which a group bears the tolerated losses
+   * @param minMembers minimum size of a group that tolerates the configured losses
    */
   static List<JobsGroupFounders> form(Collection<FleetProcess> stores, int minMembers) {
     int target = targetSize(minMembers);
-    int groups = Math.max(1, stores.size() / target);
+    int groupCount = Math.max(1, stores.size() / target);
     List<List<FleetProcess>> members = new ArrayList<>();
-    for (int group = 0; group < groups; group++) {
+    for (int group = 0; group < groupCount; group++) {
       members.add(new ArrayList<>());
     }
     for (FleetProcess store : alternatingZones(stores)) {
@@ -72,7 +72,7 @@
     return new Member(store.memberId(), store.incarnation(), true, store.peerAddress());
   }
 
-  /** The first store of each zone, then the second of each, and so on. */
+  /** Returns the first store of each zone, then the second of each, and so on. */
   private static List<FleetProcess> alternatingZones(Collection<FleetProcess> stores) {
     Map<String, Integer> seen = new HashMap<>();
     Map<Integer, List<FleetProcess>> rounds = new TreeMap<>();
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupRegistry.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupRegistry.java
@@ -16,18 +16,18 @@
 import java.util.TreeMap;
 
 /**
- * Which stores keep which group of batch jobs, as the leading coordinator knows it.
+ * Assigns stores to jobs groups, on the leading coordinator.
  *
- * <p>Only the groups and their first members are replicated. A later store is told its group by the
- * leader, keeps the number on its disk and reports it from then on, so that a new leader learns it
- * from heartbeats. Two leaders may assign a store differently: the store keeps the number that it
- * wrote first, and one group then has a member more than it needs. So that a new leader does not
- * use up waiting stores for members that are only starting, it assigns none in its first seconds.
+ * <p>Only the groups and their first members are replicated. The leader assigns later stores; a
+ * store saves the number of its group on disk and reports it in heartbeats, from which a new leader
+ * learns it. Two leaders may assign a store differently: the store keeps the number that it saved
+ * first, and one group then has a member more than it needs. A new leader assigns none in its first
+ * seconds, so that waiting stores do not replace members that are only starting.
  */
 final class JobsGroupRegistry {
   /**
-   * How long a group must lack a member before a waiting store takes the place: longer than a
-   * restart of a store takes, which is 2 to 3 s on the users' machines.
+   * How long a group must lack a member before a waiting store replaces it: longer than the restart
+   * of a store, which takes 2 to 3 s.
    */
   static final long REPLACEMENT_DELAY_MS = 4_000;
 
@@ -41,13 +41,13 @@
   /**
    * Creates an empty registry.
    *
-   * @param targetSize how many members a group should have
+   * @param targetSize number of members that a group should have
    */
   JobsGroupRegistry(int targetSize) {
     this.targetSize = targetSize;
   }
 
-  /** Forgets what was learnt under an earlier leadership; the one of this coordinator begins. */
+  /** Discards all state, when the leadership of this coordinator begins or ends. */
   void clear(long nowMs) {
     leaderSinceMs = nowMs;
     reports.clear();
@@ -56,7 +56,7 @@
     waiting.clear();
   }
 
-  /** Takes over what the leader of a group says of it; an older leader's word does not count. */
+  /** Records the report of a group's leader, unless one of a newer term is known. */
   void onReport(JobsGroupReport report) {
     JobsGroupReport known = reports.get(report.group());
     if (known == null || report.term() >= known.term()) {
@@ -64,17 +64,17 @@
     }
   }
 
-  /** The newest report of each group. */
+  /** Returns the newest report of each group. */
   List<JobsGroupReport> reports() {
     return List.copyOf(reports.values());
   }
 
   /**
-   * The group that a store is to keep, or {@link FleetProcess#NO_GROUP} when it has to wait.
+   * Returns the group that a store belongs to, or {@link FleetProcess#NO_GROUP} if it has to wait.
    *
    * @param founded the groups and their first members
-   * @param processes all processes that are alive
-   * @param leaving the ids of stores that are being emptied
+   * @param processes all live processes
+   * @param leaving the ids of stores that are being retired
    */
   int groupFor(
       FleetProcess store,
@@ -92,7 +92,7 @@
         .orElseGet(() -> assign(store, founded, processes, leaving, nowMs));
   }
 
-  /** The group that a store reports, that counts it as a member or that it was told to keep. */
+  /** Returns the group that a store reports, is a member of, or was assigned to. */
   private Optional<Integer> knownGroupOf(FleetProcess store, List<JobsGroupFounders> founded) {
     if (store.jobsGroup() != FleetProcess.NO_GROUP) {
       return Optional.of(store.jobsGroup());
@@ -101,7 +101,9 @@
         .or(() -> Optional.ofNullable(assigned.get(store.memberId())));
   }
 
-  /** The group that already counts the store as a member: it is new, or its disk was lost. */
+  /**
+   * Returns the group that lists the store as a member, for a store that is new or lost its disk.
+   */
   private Optional<Integer> membershipOf(FleetProcess store, List<JobsGroupFounders> founded) {
     for (JobsGroupFounders founders : founded) {
       JobsGroupReport report = reports.get(founders.group());
@@ -142,7 +144,7 @@
     return group;
   }
 
-  /** How many living stores each group has or will have, those that leave not counted. */
+  /** Counts the live stores that each group has or will have, except those being retired. */
   private Map<Integer, Integer> sizes(
       List<JobsGroupFounders> founded, Collection<FleetProcess> processes, Set<Integer> leaving) {
     Map<Integer, Integer> sizes = new TreeMap<>();
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownFleet.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownFleet.java
@@ -18,17 +18,16 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * What this coordinator knew of the fleet last, kept in its data folder.
+ * The last fleet state that this coordinator knew, saved in its data folder.
  *
- * <p>After a restart of all coordinators it tells gateways that know nothing what was in force,
- * until there is a leader to ask. It holds committed configurations only, so a process that begins
- * with it never has to go back. It may be out of date, and therefore goes only to processes that no
- * leader has told the fleet, only shortly after the start of this process ({@link
- * LastKnownResponder}), and is acted on only shortly after the start of those: by then a leader
- * should have told what is in force.
+ * <p>After a restart of all coordinators, it serves gateways without any state until a leader is
+ * elected. It holds committed configurations only, so a process that starts with it never has to go
+ * back to an older one. As it may be out of date, it is sent only to processes without a list from
+ * a leader, only shortly after the start of this process ({@link LastKnownResponder}), and is used
+ * only shortly after their own start: by then a leader should have answered.
  *
- * <p>A thread of its own writes it, for the disk may hang: at most once every {@value
- * #WRITE_INTERVAL_MS} ms, but for changes of the requests in quarantine.
+ * <p>A separate thread writes the file, since the disk may hang: at most once every {@value
+ * #WRITE_INTERVAL_MS} ms, except for changes of the quarantined requests.
  */
 final class LastKnownFleet implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(LastKnownFleet.class);
@@ -42,7 +41,7 @@
   private final Thread writer = new Thread(this::writeChanges, "last-known-fleet");
   private volatile boolean closed;
 
-  /** Reads what an earlier process wrote; {@link #start} begins to write. */
+  /** Reads the file of an earlier process; {@link #start} starts writing. */
   LastKnownFleet(DataFolder folder) {
     this.folder = folder;
     this.recovered = folder.readFile(FILE).flatMap(LastKnownFleet::decode);
@@ -53,22 +52,24 @@
     writer.start();
   }
 
-  /** What an earlier process knew; empty when there was none, or its file is damaged. */
+  /**
+   * Returns the state saved by an earlier process; empty if there is none or the file is damaged.
+   */
   Optional<FleetUpdate> recovered() {
     return recovered;
   }
 
   /**
-   * Keeps a view that came from a leader; returns at once. A change of the requests in quarantine
-   * is written without delay: a gateway that starts with an older list sends such a request to
-   * engines once more.
+   * Saves a view that came from a leader; does not block. A change of the quarantined requests is
+   * written without delay: a gateway that starts with an older list would send such a request to
+   * engines again.
    */
   void offer(FleetView view) {
     if (!view.isComplete()) {
       return;
     }
-    FleetView before = latest.getAndSet(view);
-    if (before != null && !before.quarantine().equals(view.quarantine())) {
+    FleetView previous = latest.getAndSet(view);
+    if (previous != null && !previous.quarantine().equals(view.quarantine())) {
       LockSupport.unpark(writer);
     }
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownResponder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownResponder.java
@@ -12,38 +12,40 @@
 import java.util.Optional;
 
 /**
- * What a coordinator that has just started tells of what it knew before, and to whom.
+ * Answers heartbeats with the last-known fleet state, shortly after the start of a coordinator.
  *
- * <p>All of it goes to processes that no leader has given a list of engines, while no leader is
- * known. The list of engines alone goes to processes that know none, from a leader that has not
- * read it yet. Both carry no leader's epoch, so the list that the leader reads is sent in full.
- * Both end soon after the start: later a newer configuration may be in force, and engines may have
- * moved.
+ * <p>While no leader is known, all of the state is sent to processes without a list of engines from
+ * a leader. A leader that has not read the list of engines yet sends the last-known list to
+ * processes that have none. Neither answer carries a leader's epoch, so the list that the leader
+ * reads is sent in full. Both end soon after the start: later a newer configuration may be in
+ * force, and engines may have moved.
  */
 final class LastKnownResponder {
   /**
-   * How long all of it is told: one election that fails and one that succeeds. It counts from when
-   * this coordinator can answer, for a slow machine takes most of that time to start.
+   * How long all of the state is sent: a failed election and a successful one. It counts from when
+   * this coordinator can answer, since a slow machine takes most of that time to start.
    */
   static final long ANSWER_WINDOW_MS = 2_000;
 
-  /** How long a leader tells the engines: an election, and some reads of the list that fail. */
+  /**
+   * How long a leader sends the last-known engines: an election and some failed reads of the list.
+   */
   static final long ENGINE_LIST_WINDOW_MS = 4_000;
 
   private final Optional<FleetUpdate> lastKnown;
   private final long servingSinceMs;
 
   /**
-   * Begins to tell.
+   * Creates a responder.
    *
-   * @param servingSinceMs from when on this coordinator can answer
+   * @param servingSinceMs when this coordinator became able to answer
    */
   LastKnownResponder(Optional<FleetUpdate> lastKnown, long servingSinceMs) {
     this.lastKnown = lastKnown.map(LastKnownResponder::withListSequence);
     this.servingSinceMs = servingSinceMs;
   }
 
-  /** The list of engines with a sequence, by which processes that know it can be told apart. */
+  /** Sets a sequence on the list of engines, which distinguishes processes that have it. */
   private static FleetUpdate withListSequence(FleetUpdate update) {
     return copyWith(
         update,
@@ -81,12 +83,12 @@
   }
 
   /**
-   * The answer of a coordinator that knows no leader; empty when it has none to give. A process
-   * that holds the same or newer routes hears only that no leader is known.
+   * Returns the answer while no leader is known; empty if there is none. A process with the same or
+   * newer routes gets it without lists, which tells it only that no leader is known.
    */
   Optional<FleetUpdate> answerWithoutLeader(FleetHeartbeat heartbeat, long nowMs) {
-    boolean told = nowMs - servingSinceMs < ANSWER_WINDOW_MS;
-    if (!told || heartbeat.engineEpoch() != FleetUpdate.NO_LEADERS_EPOCH) {
+    boolean inWindow = nowMs - servingSinceMs < ANSWER_WINDOW_MS;
+    if (!inWindow || heartbeat.engineEpoch() != FleetUpdate.NO_LEADERS_EPOCH) {
       return Optional.empty();
     }
     return lastKnown.map(known -> hasRoutes(heartbeat, known) ? withoutLists(known) : known);
@@ -96,7 +98,7 @@
     return heartbeat.routeVersion() >= known.routes().version();
   }
 
-  /** The lists are left out: a repetition goes to each process many times in a second. */
+  /** Leaves out the lists, since each process gets this answer many times a second. */
   private static FleetUpdate withoutLists(FleetUpdate known) {
     ProcessListDelta noProcesses =
         new ProcessListDelta(
@@ -104,12 +106,12 @@
     return copyWith(known, null, engineDelta(false, new ArrayList<>()), noProcesses, null);
   }
 
-  /** What a leader that has not read the list of engines tells of it; null for nothing. */
+  /** Returns the engines that a leader sends before it has read the list; null for none. */
   EngineListDelta enginesBeforeFirstRead(FleetHeartbeat heartbeat, long nowMs) {
     boolean knowsNone =
         heartbeat.engineEpoch() == FleetUpdate.NO_LEADERS_EPOCH
             && heartbeat.engineSequence() < FleetUpdate.NO_LEADERS_SEQUENCE;
-    boolean told = nowMs - servingSinceMs < ENGINE_LIST_WINDOW_MS;
-    return knowsNone && told ? lastKnown.map(FleetUpdate::engines).orElse(null) : null;
+    boolean inWindow = nowMs - servingSinceMs < ENGINE_LIST_WINDOW_MS;
+    return knowsNone && inWindow ? lastKnown.map(FleetUpdate::engines).orElse(null) : null;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
@@ -28,7 +28,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Serves operators on any coordinator, by way of the one that leads. */
+/** Serves operators on any coordinator, and forwards their commands to the leader. */
 final class OperatorEndpoint {
   private static final EventLog EVENTS = EventLog.of(OperatorEndpoint.class);
   static final long CALL_TIMEOUT_MS = 1_500;
@@ -52,16 +52,16 @@
   }
 
   void handle(HttpExchange exchange) {
-    OperatorRequest call = protocol.read(exchange);
-    if (call instanceof OperatorRequest.PutRoutes put) {
+    OperatorRequest request = protocol.read(exchange);
+    if (request instanceof OperatorRequest.PutRoutes put) {
       putRoutes(exchange, put.table());
-    } else if (call instanceof OperatorRequest.ReadRoutes) {
+    } else if (request instanceof OperatorRequest.ReadRoutes) {
       readRoutes(exchange);
-    } else if (call instanceof OperatorRequest.RetireStore empty) {
-      retireStore(exchange, empty.name());
-    } else if (call instanceof OperatorRequest.ReadRetirement read) {
+    } else if (request instanceof OperatorRequest.RetireStore retire) {
+      retireStore(exchange, retire.name());
+    } else if (request instanceof OperatorRequest.ReadRetirement read) {
       readRetirement(exchange, read.name());
-    } else if (call instanceof OperatorRequest.Invalid invalid) {
+    } else if (request instanceof OperatorRequest.Invalid invalid) {
       sendInvalid(exchange, invalid.reason());
     } else {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
@@ -82,9 +82,9 @@
     propose(
         new PutRouteTable(table),
         result -> {
-          boolean held =
+          boolean accepted =
               result.isOk() && ((ProposeReply) result.value()).result() instanceof RouteTableHeld;
-          if (held) {
+          if (accepted) {
             EVENTS.log(EventCode.ROUTES_ACCEPTED, "version", table.version());
             exchange.sendJson(200, new byte[] {'{', '}'});
           } else {
@@ -128,8 +128,8 @@
     }
     int memberId = store.get().memberId();
     long remaining = countRemaining(store.get(), known);
-    boolean keepsNothing = store.get().jobsGroup() == FleetProcess.NO_GROUP;
-    boolean mayLeave = keepsNothing || known.leavingMembers().contains(memberId);
+    boolean hasNoGroup = store.get().jobsGroup() == FleetProcess.NO_GROUP;
+    boolean mayLeave = hasNoGroup || known.leavingMembers().contains(memberId);
     if (!mayLeave && remaining < minStores) {
       exchange.sendError(
           ApiError.conflict(
@@ -148,7 +148,7 @@
         });
   }
 
-  /** The stores that keep the same group or wait to take a place in one, without {@code store}. */
+  /** Counts the other stores in the group of {@code store} or in none, except those retiring. */
   private static long countRemaining(FleetProcess store, FleetView known) {
     return known.withRole(FleetRole.STORE).stream()
         .filter(other -> other.memberId() != store.memberId())
@@ -160,7 +160,7 @@
         .count();
   }
 
-  /** A coordinator that has heard of no process yet cannot say that there is no such store. */
+  /** Sends 503 while no process is known, since the store may still report. */
   private static void sendStoreMissing(HttpExchange exchange, FleetView known, String name) {
     if (known.processes().isEmpty()) {
       exchange.sendError(ApiError.failed(503, "starting", "no process is known yet", true));
@@ -185,13 +185,13 @@
     exchange.sendJson(200, protocol.writeRetirement(done));
   }
 
-  private void propose(Command command, Consumer<Result<Message, GroupCallError>> answer) {
+  private void propose(Command command, Consumer<Result<Message, GroupCallError>> handler) {
     coordinators
         .call(
             new ProposeRequest(CoordinatorProcess.FLEET_GROUP, "", 0, command),
             CALL_TIMEOUT_MS,
             ATTEMPT_TIMEOUT_MS)
-        .thenAccept(answer);
+        .thenAccept(handler);
   }
 
   private static void sendUnavailable(
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
@@ -21,19 +21,17 @@
 import java.util.Set;
 
 /**
- * Decides for the leading coordinator which requests must not reach engines any more; runs on the
- * thread of the consensus duty.
+ * Decides on the leading coordinator which requests are quarantined and no longer sent to engines;
+ * runs on the consensus thread.
  *
- * <p>What processes tell of ends is kept in memory, and processes tell a new leader again. What is
- * decided is replicated, so that a loss of power of all machines does not let a request loose that
- * ended engines before: it would end three more until it was found again.
+ * <p>Notices of engine crashes are kept in memory, and processes send them again to a new leader.
+ * Decisions are replicated, so that a request stays in quarantine after a power loss of all
+ * machines: otherwise it would crash three more engines before it is found again.
  */
 final class QuarantineManager {
   private static final EventLog EVENTS = EventLog.of(QuarantineManager.class);
 
-  /**
-   * Long enough for callers to give up, short enough for a mended engine to be tried the same day.
-   */
+  /** Long enough for callers to give up, short enough to retry a fixed engine on the same day. */
   private static final long QUARANTINE_DURATION_MS = 600_000;
 
   private static final long STEP_INTERVAL_MS = 1_000;
@@ -41,12 +39,12 @@
   private final GroupRuntime group;
   private final FleetStateMachine state;
   private final ControllerClock clock;
-  private final CrashCauseDetector ledger = new CrashCauseDetector();
+  private final CrashCauseDetector detector = new CrashCauseDetector();
 
-  /** Since when this leader knows each request as held. */
+  /** When this leader first saw each request in quarantine. */
   private final Map<RequestFingerprint, Long> quarantinedSinceMs = new HashMap<>();
 
-  /** Found, and not committed yet. */
+  /** Requests that were proposed for quarantine and are not committed yet. */
   private final Set<RequestFingerprint> proposed = new HashSet<>();
 
   private long nextStepMs;
@@ -57,80 +55,80 @@
     this.clock = clock;
   }
 
-  /** Forgets everything, for a new leadership. */
+  /** Discards all state, when the leadership changes. */
   void clear() {
-    ledger.clear();
+    detector.clear();
     quarantinedSinceMs.clear();
     proposed.clear();
   }
 
-  /** The list for a process that has {@code version}; null when it has the newest one. */
+  /** Returns the list for a process that has {@code version}; null if that is the current one. */
   QuarantineList newerThan(long version) {
     return state.quarantineVersion() == version ? null : state.quarantine();
   }
 
-  /** Takes a notice, and replies once what follows from it is committed. */
+  /** Handles a notice; replies once the resulting quarantine is committed. */
   void onNotice(EngineEndNotice notice, ReplySink reply, long nowMs) {
     if (!group.isLeading()) {
       reply.reply(group.notLeader());
       return;
     }
-    notice.served().forEach(ledger::clear);
-    notice.ends().forEach(end -> ledger.add(end, nowMs));
-    List<RequestFingerprint> causes = ledger.causes(state::isQuarantined);
+    notice.served().forEach(detector::clear);
+    notice.ends().forEach(end -> detector.add(end, nowMs));
+    List<RequestFingerprint> causes = detector.causes(state::isQuarantined);
     releaseExonerated(causes);
-    List<RequestFingerprint> found =
+    List<RequestFingerprint> newCauses =
         causes.stream()
             .filter(request -> !state.isQuarantined(request) && proposed.add(request))
             .toList();
-    if (found.isEmpty()) {
+    if (newCauses.isEmpty()) {
       reply.reply(new EngineEndNoted());
       return;
     }
-    for (RequestFingerprint request : found) {
+    for (RequestFingerprint request : newCauses) {
       EVENTS.log(EventCode.REQUEST_QUARANTINED, "fingerprint", request.shortForm());
     }
     group.propose(
         "",
         0,
-        new QuarantineRequests(found),
+        new QuarantineRequests(newCauses),
         committed -> {
-          proposed.removeAll(found);
+          proposed.removeAll(newCauses);
           reply.reply(new EngineEndNoted());
         },
         clock);
   }
 
-  /** Requests that were beside causes which were not found yet when they were held back. */
+  /** Releases requests that were quarantined before the actual causes beside them were found. */
   private void releaseExonerated(List<RequestFingerprint> causes) {
-    List<RequestFingerprint> innocent =
+    List<RequestFingerprint> exonerated =
         state.quarantine().requests().stream()
-            .filter(request -> ledger.hasSufficientEvidence(request) && !causes.contains(request))
+            .filter(request -> detector.hasSufficientEvidence(request) && !causes.contains(request))
             .toList();
-    if (!innocent.isEmpty()) {
-      release(innocent, "another request explains the ends");
+    if (!exonerated.isEmpty()) {
+      release(exonerated, "another request explains the ends");
     }
   }
 
-  /** Forgets old ends, and releases requests that were held for long enough. */
+  /** Expires old crashes, and releases requests after {@link #QUARANTINE_DURATION_MS}. */
   void onStep(long nowMs) {
     if (nowMs < nextStepMs) {
       return;
     }
     nextStepMs = nowMs + STEP_INTERVAL_MS;
-    ledger.expire(nowMs);
-    List<RequestFingerprint> held = state.quarantine().requests();
-    quarantinedSinceMs.keySet().retainAll(held);
-    List<RequestFingerprint> over = new ArrayList<>();
-    for (RequestFingerprint request : held) {
+    detector.expire(nowMs);
+    List<RequestFingerprint> quarantined = state.quarantine().requests();
+    quarantinedSinceMs.keySet().retainAll(quarantined);
+    List<RequestFingerprint> expired = new ArrayList<>();
+    for (RequestFingerprint request : quarantined) {
       long sinceMs = quarantinedSinceMs.computeIfAbsent(request, key -> nowMs);
       if (nowMs - sinceMs > QUARANTINE_DURATION_MS) {
-        over.add(request);
+        expired.add(request);
       }
     }
-    if (!over.isEmpty()) {
-      release(over, "held for long enough");
-      over.forEach(ledger::clear);
+    if (!expired.isEmpty()) {
+      release(expired, "held for long enough");
+      expired.forEach(detector::clear);
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/RouteTableValidator.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/RouteTableValidator.java
@@ -12,21 +12,21 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Checks a configuration before it is taken. */
+/** Validates a configuration before it is accepted. */
 final class RouteTableValidator {
   private RouteTableValidator() {}
 
-  /** What is wrong with the configuration; empty when nothing is. */
+  /** Returns the first problem of the configuration; empty if it is valid. */
   static Optional<String> findProblem(RouteTable table) {
     Set<String> services =
         table.services().stream().map(ServiceLimits::name).collect(Collectors.toSet());
-    Set<String> places = new HashSet<>();
+    Set<String> hostsAndPrefixes = new HashSet<>();
     for (RouteSpec route : table.routes()) {
       Optional<String> problem = findProblem(route, services);
       if (problem.isPresent()) {
         return problem.map(found -> "route " + route.name() + ": " + found);
       }
-      if (!places.add(route.host() + ' ' + route.pathPrefix())) {
+      if (!hostsAndPrefixes.add(route.host() + ' ' + route.pathPrefix())) {
         return Optional.of(
             "route " + route.name() + ": another route has the same host and prefix");
       }
@@ -68,7 +68,7 @@
     if (route.timeoutMs() <= 0) {
       return Optional.of("the timeout must be above 0");
     }
-    boolean framed = route.pathPrefix().startsWith("/") && route.pathPrefix().endsWith("/");
-    return framed ? Optional.empty() : Optional.of("a prefix begins and ends with a slash");
+    boolean hasSlashes = route.pathPrefix().startsWith("/") && route.pathPrefix().endsWith("/");
+    return hasSlashes ? Optional.empty() : Optional.of("a prefix begins and ends with a slash");
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
@@ -14,19 +14,16 @@
 import java.util.List;
 import java.util.Optional;
 
-/**
- * Keeps tenants within their limits for the leading coordinator; runs on the thread of the
- * consensus duty.
- */
+/** Enforces the rate limits of tenants on the leading coordinator; runs on the consensus thread. */
 final class TenantAdmission {
   private final GroupRuntime group;
   private final FleetStateMachine state;
   private final TenantLedger ledger;
 
   /**
-   * Creates an admission that knows of no gateway yet.
+   * Creates an admission control that knows no gateway yet.
    *
-   * @param limitWindowMs the span over which limits hold
+   * @param limitWindowMs time window of the limits
    */
   TenantAdmission(GroupRuntime group, FleetStateMachine state, long limitWindowMs) {
     this.group = group;
@@ -34,17 +31,17 @@
     this.ledger = new TenantLedger(limitWindowMs);
   }
 
-  /** Forgets everything, for a new leadership. */
+  /** Discards all state, when the leadership changes. */
   void clear() {
     ledger.clear();
   }
 
-  /** Forgets gateways that are gone for longer than limits look back. */
+  /** Removes gateways that were silent for longer than the window of the limits. */
   void expire(long nowMs) {
     ledger.expire(nowMs);
   }
 
-  /** Takes what a process has admitted, and returns the tenants that it has to ask for. */
+  /** Records what a gateway has admitted, and returns the tenants whose requests need admission. */
   List<String> onHeartbeat(FleetProcess sender, List<TenantUse> uses, long nowMs) {
     if (sender.role() != FleetRole.GATEWAY) {
       return List.of();
@@ -54,15 +51,15 @@
   }
 
   /**
-   * Admits one request of a contended tenant, or not.
+   * Admits or rejects one request of a contended tenant.
    *
-   * @param allHeard whether this leader has had the time to hear of all gateways
+   * @param collectionDone whether all gateways had time to report to this leader
    */
-  Message decide(AdmissionRequest request, boolean allHeard, long nowMs) {
+  Message decide(AdmissionRequest request, boolean collectionDone, long nowMs) {
     if (!group.isLeading()) {
       return group.notLeader();
     }
-    if (!allHeard) {
+    if (!collectionDone) {
       return new Unavailable("not all gateways were heard yet", false);
     }
     Optional<CallerTenant> tenant =
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
@@ -7,16 +7,16 @@
 import java.util.Objects;
 
 /**
- * A list whose changes are counted, so that a reader is sent only what it lacks.
+ * A keyed list that numbers its changes, so that a reader is sent only those that it lacks.
  *
- * @param <V> the entries; equal entries are no change
+ * @param <V> the type of the entries; replacing an entry by an equal one is no change
  */
 final class VersionedList<V> {
   private static final int MAX_REMOVALS = 1_024;
 
   private record Entry<V>(V value, long sequence) {}
 
-  /** What a reader lacks. */
+  /** The changes that a reader lacks, or the full list. */
   record Delta<V>(boolean full, List<V> changed, List<String> removed, long sequence) {}
 
   private final Map<String, Entry<V>> entries = new HashMap<>();
@@ -26,8 +26,8 @@
 
   /** Adds or replaces an entry; returns whether that is a change. */
   boolean put(String key, V value) {
-    Entry<V> known = entries.get(key);
-    if (known != null && Objects.equals(known.value(), value)) {
+    Entry<V> previous = entries.get(key);
+    if (previous != null && Objects.equals(previous.value(), value)) {
       return false;
     }
     entries.put(key, new Entry<>(value, ++sequence));
@@ -68,20 +68,24 @@
     removalsDroppedUpTo = 0;
   }
 
-  /** What a reader lacks that knows the list up to {@code known}; all when it knows nothing. */
-  Delta<V> since(long known, boolean knowsThisList) {
-    boolean full = !knowsThisList || known < removalsDroppedUpTo || known > sequence;
+  /**
+   * Returns the changes after {@code readerSequence}; the full list if the reader has another list
+   * or is too far behind.
+   */
+  Delta<V> since(long readerSequence, boolean hasThisList) {
+    boolean full =
+        !hasThisList || readerSequence < removalsDroppedUpTo || readerSequence > sequence;
     List<V> changed = new ArrayList<>();
     List<String> removed = new ArrayList<>();
     for (Entry<V> entry : entries.values()) {
-      if (full || entry.sequence() > known) {
+      if (full || entry.sequence() > readerSequence) {
         changed.add(entry.value());
       }
     }
     if (!full) {
       removals.forEach(
           (key, at) -> {
-            if (at > known) {
+            if (at > readerSequence) {
               removed.add(key);
             }
           });
--- a/fleet/src/main/java/io/pathdeck/fleet/member/CandidateOrder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/CandidateOrder.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Which of several candidates is asked next while no leader is known. Thread-safe.
+ * Selects the candidate to ask while no leader is known. Thread-safe.
  *
- * <p>Processes that begin at different candidates spread the load of a common start over all of
- * them.
+ * <p>Processes start at different candidates, so that the load of a simultaneous start is spread
+ * over all of them.
  */
 final class CandidateOrder {
   private final AtomicInteger next;
@@ -16,22 +16,22 @@
     this.next = new AtomicInteger(first);
   }
 
-  /** An order that begins with the first candidate. */
+  /** Creates an order that starts with the first candidate. */
   static CandidateOrder fromFirst() {
     return new CandidateOrder(0);
   }
 
-  /** An order whose beginning follows from the name of the process that asks. */
-  static CandidateOrder forProcess(String process) {
-    return new CandidateOrder(process.hashCode());
+  /** Creates an order whose first candidate depends on the name of the asking process. */
+  static CandidateOrder forProcess(String processName) {
+    return new CandidateOrder(processName.hashCode());
   }
 
-  /** The candidate to ask; empty when there is none. */
+  /** Returns the candidate to ask; empty if there is none. */
   String current(List<String> candidates) {
     return candidates.isEmpty() ? "" : candidates.get(Math.floorMod(next.get(), candidates.size()));
   }
 
-  /** Goes on to another candidate. */
+  /** Moves on to the next candidate. */
   void advance() {
     next.incrementAndGet();
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/CoordinatorContacts.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/CoordinatorContacts.java
@@ -11,27 +11,27 @@
 import java.util.function.Supplier;
 
 /**
- * The coordinators that a process may ask: the seeds of its settings, and those that it has learnt
- * of since, for seeds may be gone or cut off.
+ * The coordinators that a process may contact: the seeds in its settings and those learned since,
+ * as seeds may be gone or unreachable.
  */
 public final class CoordinatorContacts {
   private final GroupClient client;
   private volatile List<String> seeds;
   private volatile FleetFollower follower;
 
-  /** Contacts of a process with these settings. */
+  /** Creates the contacts of a process with these settings. */
   public CoordinatorContacts(FleetSettings settings, PeerPool pool, EventLoopGroup eventLoops) {
     this.seeds = settings.seedAddresses();
     CandidateOrder order = CandidateOrder.forProcess(settings.name());
     this.client = new GroupClient(pool, RetryTimer.on(eventLoops), this::addresses, order);
   }
 
-  /** The way to whichever coordinator leads. */
+  /** Returns the client of the leading coordinator. */
   public GroupClient client() {
     return client;
   }
 
-  /** Takes over the seeds of changed settings. */
+  /** Replaces the seeds after a change of the settings. */
   public void setSeeds(List<String> changed) {
     seeds = List.copyOf(changed);
   }
@@ -44,9 +44,9 @@
 
   private List<String> addresses() {
     List<String> addresses = new ArrayList<>(seeds);
-    FleetFollower learnt = follower;
-    if (learnt != null) {
-      learnt.view().withRole(FleetRole.COORDINATOR).stream()
+    FleetFollower currentFollower = follower;
+    if (currentFollower != null) {
+      currentFollower.view().withRole(FleetRole.COORDINATOR).stream()
           .map(FleetProcess::peerAddress)
           .filter(address -> !addresses.contains(address))
           .forEach(addresses::add);
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
@@ -25,24 +25,24 @@
 import java.util.function.Supplier;
 
 /**
- * Reports this process to the coordinators and follows what they know.
+ * Reports this process to the coordinators and updates its view of the fleet from their answers.
  *
- * <p>A process that cannot reach the coordinators keeps what it knows and goes on with it. It never
- * goes back to an older configuration. All state belongs to one event loop; the {@link Section} may
- * be read anywhere.
+ * <p>A process that cannot reach the coordinators continues with its last view. It never returns to
+ * an older configuration. All state belongs to one event loop; the {@link Section} may be read by
+ * any thread.
  */
 public final class FleetFollower implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(FleetFollower.class);
   private static final long CALL_TIMEOUT_MS = 900;
   private static final long ATTEMPT_TIMEOUT_MS = 500;
 
-  /** What the process says of itself, made anew for each heartbeat. */
+  /** What the process reports about itself, created for each heartbeat. */
   public record SelfReport(
       FleetProcess process,
       boolean mayFound,
       JobsGroupReport jobsGroup,
       List<TenantUse> tenantUse) {
-    /** The report of a process that admits no callers' requests. */
+    /** Creates the report of a process that admits no requests of callers. */
     public SelfReport(FleetProcess process, boolean mayFound, JobsGroupReport jobsGroup) {
       this(process, mayFound, jobsGroup, List.of());
     }
@@ -68,7 +68,7 @@
   private boolean connected;
   private boolean closed;
 
-  /** Creates a follower; {@link #start} begins the reports. */
+  /** Creates a follower; {@link #start} starts reporting. */
   public FleetFollower(EventLoop eventLoop, GroupClient coordinators, Supplier<SelfReport> self) {
     this.eventLoop = eventLoop;
     this.coordinators = coordinators;
@@ -80,68 +80,64 @@
     return TimeUnit.MILLISECONDS.toNanos(ProcessStart.monotonicMs(nowMs));
   }
 
-  /** What is known; may be read from any thread. */
+  /** Returns the current view. Thread-safe. */
   public FleetView view() {
     return view.read();
   }
 
   /**
-   * Whether the leading coordinator has told or confirmed the view of late. Otherwise routes may
-   * have been added or removed in the meantime. Thread-safe.
+   * Whether the leader has answered recently. Otherwise routes may have been added or removed in
+   * the meantime. Thread-safe.
    */
   public boolean isConfirmed() {
     return freshness.isConfirmed(System.nanoTime());
   }
 
-  /**
-   * Whether the leading coordinator has answered a report that was sent in the last {@code ms}.
-   * Thread-safe.
-   */
+  /** Whether the leader has answered a report that was sent in the last {@code ms}. Thread-safe. */
   public boolean isConfirmedWithin(long ms) {
     return freshness.isConfirmedWithin(ms, System.nanoTime());
   }
 
   /**
-   * Whether the view may be acted on: a leader has told it, or a coordinator that knows no leader
-   * has told what it knew before its restart a moment ago. Later than that a newer configuration
-   * may be in force. Thread-safe.
+   * Whether the view may be used: a leader has sent it, or a coordinator that knows no leader has
+   * just sent its last-known state. Later a newer configuration may be in force. Thread-safe.
    */
   public boolean isUsable() {
     return view().isComplete() && freshness.isUsable(System.nanoTime());
   }
 
-  /** How far this process has come in learning the fleet. Thread-safe. */
+  /** Returns the progress of this process in getting a view of the fleet. Thread-safe. */
   public StartProgress startProgress() {
     return freshness.startProgress(createdNs, System.nanoTime());
   }
 
-  /** Calls {@code listener} on the event loop after each change; to be set before the start. */
+  /** Sets a listener that is called on the event loop after each change; call before the start. */
   public void onChange(Consumer<FleetView> changeListener) {
     listener = changeListener;
   }
 
   /**
-   * Calls {@code heard} on the event loop with the tenants that are near their limits, at each
-   * answer of a leader; to be set before the start.
+   * Sets a listener for the tenants near their limits, called on the event loop at each answer of a
+   * leader; call before the start.
    */
-  public void onContention(Consumer<List<String>> heard) {
-    contentionListener = heard;
+  public void onContention(Consumer<List<String>> listener) {
+    contentionListener = listener;
   }
 
   /**
-   * Calls {@code heard} on the event loop when another leader has answered than before; to be set
+   * Sets a listener that is called on the event loop when another leader answers than before; call
    * before the start.
    */
-  public void onNewLeader(Runnable heard) {
-    newLeaderListener = heard;
+  public void onNewLeader(Runnable listener) {
+    newLeaderListener = listener;
   }
 
-  /** Begins to report. */
+  /** Starts reporting. */
   public void start() {
     eventLoop.execute(this::report);
   }
 
-  /** Reports at once, for a change that others should know soon. */
+  /** Sends a report immediately, for a change that others should learn soon. */
   public void reportNow() {
     eventLoop.execute(this::send);
   }
@@ -157,8 +153,8 @@
   }
 
   private long intervalMs() {
-    boolean leadersEngines = engineEpoch != FleetUpdate.NO_LEADERS_EPOCH;
-    boolean followsLeader = leadersEngines && view().isComplete();
+    boolean hasLeadersEngines = engineEpoch != FleetUpdate.NO_LEADERS_EPOCH;
+    boolean followsLeader = hasLeadersEngines && view().isComplete();
     return reportInterval.intervalMs(followsLeader, System.nanoTime());
   }
 
@@ -205,15 +201,15 @@
   }
 
   /**
-   * A coordinator has told what it knew before its restart. It may be cut off from a leader that
-   * others know, so another one is asked next.
+   * Handles the last-known state of a coordinator. That coordinator may be cut off from a leader
+   * that others know, so another one is asked next.
    */
-  private void onLastKnown(FleetUpdate told) {
+  private void onLastKnown(FleetUpdate update) {
     coordinators.tryNextCandidate();
     freshness.onLastKnownReceived(System.nanoTime());
-    boolean newer = told.routes() != null && isNewer(told.routes());
+    boolean newer = update.routes() != null && isNewer(update.routes());
     if (newer && !freshness.hasLeaderAnswered()) {
-      applyUpdate(told);
+      applyUpdate(update);
     }
   }
 
@@ -227,7 +223,7 @@
     boolean changed = newRoutes;
     changed |= applyEngines(update.engines());
     changed |= applyProcesses(update.processes());
-    FleetView before = view();
+    FleetView previous = view();
     FleetView next =
         new FleetView(
             routes,
@@ -238,7 +234,7 @@
             update.assignedGroup(),
             update.leavingMembers(),
             mergeQuarantine(update));
-    if (!changed && next.equals(before)) {
+    if (!changed && next.equals(previous)) {
       return;
     }
     if (newRoutes) {
@@ -249,17 +245,18 @@
     listener.accept(next);
   }
 
-  /** Coordinators that restarted may each have kept another list; the newest one counts. */
+  /** Returns the newer list: coordinators that restarted may have saved different ones. */
   private QuarantineList mergeQuarantine(FleetUpdate update) {
-    QuarantineList held = view().quarantine();
-    QuarantineList told = update.quarantine();
-    boolean older = told == null || (update.isLastKnown() && told.version() <= held.version());
-    return older ? held : told;
+    QuarantineList current = view().quarantine();
+    QuarantineList received = update.quarantine();
+    boolean older =
+        received == null || (update.isLastKnown() && received.version() <= current.version());
+    return older ? current : received;
   }
 
   private boolean isNewer(RouteTable routes) {
-    RouteTable held = view().routes();
-    return held == null || routes.version() > held.version();
+    RouteTable current = view().routes();
+    return current == null || routes.version() > current.version();
   }
 
   private boolean applyEngines(EngineListDelta delta) {
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
@@ -16,15 +16,15 @@
 import java.util.Set;
 
 /**
- * What a process knows of the fleet; an immutable snapshot.
+ * An immutable snapshot of the fleet as known to a process.
  *
- * @param routes the newest configuration it heard of; null before the first one
+ * @param routes the newest known configuration; null before the first one
  * @param engines the engines by id; null before the first list
  * @param processes the processes by name
- * @param jobsFounders the groups that keep batch jobs and their first members
- * @param jobsGroups these groups as their leaders reported them last
- * @param assignedGroup the group that this process is to keep, for a store
- * @param leavingMembers ids of stores that are being emptied
+ * @param jobsFounders the jobs groups and their first members
+ * @param jobsGroups the jobs groups as last reported by their leaders
+ * @param assignedGroup the group that this process is assigned to, for a store
+ * @param leavingMembers ids of stores that are being retired
  * @param quarantine the requests that must not reach engines
  */
 public record FleetView(
@@ -36,7 +36,7 @@
     int assignedGroup,
     List<Integer> leavingMembers,
     QuarantineList quarantine) {
-  /** Nothing is known. */
+  /** The view of a process that has received nothing yet. */
   public static final FleetView EMPTY =
       new FleetView(
           null,
@@ -48,24 +48,24 @@
           List.of(),
           QuarantineList.NONE);
 
-  /** Whether requests can be forwarded by this knowledge. */
+  /** Whether the view suffices to forward requests. */
   public boolean isComplete() {
     return routes != null && engines != null;
   }
 
-  /** The processes of a role. */
+  /** Returns the processes with a role. */
   public List<FleetProcess> withRole(FleetRole role) {
     return processes.values().stream().filter(process -> process.role() == role).toList();
   }
 
-  /** The store with this machine name. */
+  /** Returns the store with this machine name. */
   public Optional<FleetProcess> store(String name) {
     return withRole(FleetRole.STORE).stream()
         .filter(process -> process.name().equals(name))
         .findFirst();
   }
 
-  /** The first members of a jobs group; empty when it is not founded. */
+  /** Returns the first members of a jobs group; empty if it is not founded. */
   public Optional<GroupConfiguration> foundersOf(int group) {
     return jobsFounders.stream()
         .filter(founders -> founders.group() == group)
@@ -73,7 +73,7 @@
         .findFirst();
   }
 
-  /** The members of a jobs group as its leader reported them last; empty when unknown. */
+  /** Returns the members of a jobs group as last reported by its leader; empty if unknown. */
   public Optional<GroupConfiguration> reportedMembersOf(int group) {
     return jobsGroups.stream()
         .filter(report -> report.group() == group)
@@ -81,7 +81,7 @@
         .findFirst();
   }
 
-  /** All that are known as members of a jobs group, now or at first. */
+  /** Returns all known members of a jobs group, current and initial. */
   public Set<Member> knownMembersOf(int group) {
     Set<Member> members = new LinkedHashSet<>();
     reportedMembersOf(group).ifPresent(known -> members.addAll(known.members()));
@@ -89,7 +89,7 @@
     return members;
   }
 
-  /** The addresses at which a member of a jobs group may answer, the likely ones first. */
+  /** Returns the addresses at which a member of a jobs group may answer, the likely ones first. */
   public List<String> addressesOf(int group) {
     Set<String> addresses = new LinkedHashSet<>();
     Optional<GroupConfiguration> members = reportedMembersOf(group).or(() -> foundersOf(group));
--- a/fleet/src/main/java/io/pathdeck/fleet/member/GroupCallError.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/GroupCallError.java
@@ -1,8 +1,8 @@
 package io.pathdeck.fleet.member;
 
 /**
- * Why a group gave no answer.
+ * Error of a call that a group did not answer.
  *
- * @param mayHaveRun whether the command may have taken effect or may yet do so
+ * @param mayHaveRun whether the command may have taken effect or may still do so
  */
 public record GroupCallError(String reason, boolean mayHaveRun) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
@@ -14,9 +14,9 @@
 import java.util.function.Supplier;
 
 /**
- * Sends messages to the leader of one group, whichever member that is.
+ * Sends messages to the current leader of one group.
  *
- * <p>A message is sent again until its deadline, one attempt at a time; the group's commands are
+ * <p>A message is retried until its deadline, one attempt at a time; the group's commands are
  * idempotent. Thread-safe.
  */
 public final class GroupClient {
@@ -29,7 +29,7 @@
   private final CandidateOrder order;
 
   /**
-   * Creates a client that asks the first candidate first.
+   * Creates a client that tries the first candidate first.
    *
    * @param candidates addresses of processes that may know the leader
    */
@@ -37,7 +37,7 @@
     this(pool, timer, candidates, CandidateOrder.fromFirst());
   }
 
-  /** Creates a client that asks candidates in this order while it knows no leader. */
+  /** Creates a client that tries candidates in {@code order} while it knows no leader. */
   GroupClient(
       PeerPool pool, RetryTimer timer, Supplier<List<String>> candidates, CandidateOrder order) {
     this.pool = pool;
@@ -46,7 +46,7 @@
     this.order = order;
   }
 
-  /** Sends {@code message}; the future completes within {@code timeoutMs} or a little later. */
+  /** Sends {@code message}; the future completes within {@code timeoutMs} or shortly after. */
   public CompletableFuture<Result<Message, GroupCallError>> call(
       Message message, long timeoutMs, long attemptTimeoutMs) {
     CompletableFuture<Result<Message, GroupCallError>> outcome = new CompletableFuture<>();
@@ -55,12 +55,12 @@
     return outcome;
   }
 
-  /** Where the leader was last; empty when unknown. */
+  /** Returns the last known address of the leader; empty if unknown. */
   public String leaderAddress() {
     return leaderAddress;
   }
 
-  /** Lets the next message go to another candidate, after an answer that came from no leader. */
+  /** Sends the next message to another candidate, after an answer that came from no leader. */
   void tryNextCandidate() {
     leaderAddress = "";
     order.advance();
@@ -81,7 +81,7 @@
     order.advance();
   }
 
-  /** One call and its attempts, which follow each other and never overlap. */
+  /** One call with its attempts, which never overlap. */
   private final class Call {
     private final Message message;
     private final long deadlineNs;
--- a/fleet/src/main/java/io/pathdeck/fleet/member/JobsPlacement.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/JobsPlacement.java
@@ -1,16 +1,16 @@
 package io.pathdeck.fleet.member;
 
 /**
- * Which group keeps a batch job.
+ * Maps batch jobs to jobs groups.
  *
- * <p>The number of groups is decided once, when they are founded, so that a job is always found in
- * the group that accepted it.
+ * <p>The number of groups is fixed when they are founded, so that a job is always found in the
+ * group that accepted it.
  */
 public final class JobsPlacement {
   private JobsPlacement() {}
 
   /**
-   * The group of a job, from 1.
+   * Returns the number of the job's group, from 1.
    *
    * @param groups the number of groups, at least one
    */
@@ -18,7 +18,7 @@
     return 1 + Math.floorMod(mixBits(jobId.hashCode()), groups);
   }
 
-  /** Spreads hash codes whose low bits are alike (the finalizer of MurmurHash3). */
+  /** Spreads hash codes with similar low bits (the finalizer of MurmurHash3). */
   private static int mixBits(int hash) {
     int mixed = hash ^ (hash >>> 16);
     mixed *= 0x85ebca6b;
--- a/fleet/src/main/java/io/pathdeck/fleet/member/PeerPool.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/PeerPool.java
@@ -19,7 +19,7 @@
   private final Map<String, PeerClient> clients = new ConcurrentHashMap<>();
   private final Map<Integer, String> addresses = new ConcurrentHashMap<>();
 
-  /** An empty pool. */
+  /** Creates an empty pool. */
   public PeerPool(EventLoopGroup eventLoops, TransportTls tls, FrameCompression compression) {
     this.eventLoops = eventLoops;
     this.tls = tls;
@@ -42,12 +42,12 @@
     }
   }
 
-  /** Where a member is reached, when that is known. */
+  /** Returns the address of a member, if known. */
   public Optional<String> addressOf(int memberId) {
     return Optional.ofNullable(addresses.get(memberId));
   }
 
-  /** The connection to {@code address}; empty when that is no address. */
+  /** Returns the connection to {@code address}; empty if the address is invalid. */
   public Optional<PeerClient> client(String address) {
     PeerClient known = clients.get(address);
     if (known != null) {
@@ -60,7 +60,7 @@
                     address, key -> new PeerClient(parsed, eventLoops, tls, compression)));
   }
 
-  /** How many one-way messages were dropped for want of a connection or of room in it. */
+  /** Returns the number of one-way messages dropped for lack of a connection or of buffer space. */
   public long droppedMessages() {
     return clients.values().stream().mapToLong(PeerClient::droppedMessages).sum();
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/StartProgress.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/StartProgress.java
@@ -1,20 +1,20 @@
 package io.pathdeck.fleet.member;
 
 /**
- * How far a process that starts has come in learning the fleet.
+ * The progress of a starting process in getting a view of the fleet.
  *
- * @param ageMs how long it has been that far
+ * @param ageMs how long the phase has lasted
  */
 public record StartProgress(Phase phase, long ageMs) {
-  /** What was heard so far. */
+  /** What the process has received so far. */
   public enum Phase {
-    /** No coordinator has told anything. */
+    /** No coordinator has sent any state. */
     NO_COORDINATOR,
 
-    /** A coordinator has answered that knows no leader. */
+    /** A coordinator that knows no leader has sent its last-known state. */
     NO_LEADER,
 
-    /** A leader has answered; what it did not know yet is missing. */
+    /** A leader has answered, but its lists are incomplete. */
     LIST_MISSING
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/FleetMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/FleetMetrics.java
@@ -11,24 +11,24 @@
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
 
-/** The metrics that several roles of a fleet have. */
+/** Metrics that several roles of a fleet share. */
 public final class FleetMetrics {
   private FleetMetrics() {}
 
-  /** Publishes what a process knows of the fleet and how old that is. */
+  /** Registers the metrics of a process's view of the fleet. */
   public static void bindView(MeterRegistry registry, FleetFollower follower) {
     Gauge.builder("pathdeck.routes.version", follower, FleetMetrics::routesVersion)
         .register(registry);
-    Gauge.builder("pathdeck.routes.confirmed", follower, held -> held.isConfirmed() ? 1 : 0)
+    Gauge.builder("pathdeck.routes.confirmed", follower, source -> source.isConfirmed() ? 1 : 0)
         .register(registry);
     Gauge.builder("pathdeck.engines.known", follower, FleetMetrics::enginesKnown)
         .register(registry);
-    Gauge.builder("pathdeck.processes.known", follower, held -> held.view().processes().size())
+    Gauge.builder("pathdeck.processes.known", follower, source -> source.view().processes().size())
         .register(registry);
     Gauge.builder(
             "pathdeck.requests.quarantined",
             follower,
-            held -> held.view().quarantine().requests().size())
+            source -> source.view().quarantine().requests().size())
         .register(registry);
   }
 
@@ -40,7 +40,7 @@
     return follower.view().engines() == null ? 0 : follower.view().engines().size();
   }
 
-  /** Publishes the state of a process's replicated group. */
+  /** Registers the metrics of a process's replicated group. */
   public static void bindGroup(MeterRegistry registry, Supplier<ControllerStatus> status) {
     registerGroupGauge(
         registry,
@@ -63,7 +63,7 @@
         view -> view.replication().entryBytesResent());
   }
 
-  /** Publishes how many messages to other processes were dropped. */
+  /** Registers the number of dropped messages to other processes. */
   public static void bindPeers(MeterRegistry registry, PeerPool pool) {
     FunctionCounter.builder("pathdeck.peer.messages.dropped", pool, PeerPool::droppedMessages)
         .register(registry);
@@ -74,7 +74,7 @@
       Supplier<ControllerStatus> status,
       String name,
       ToDoubleFunction<GroupView> value) {
-    Gauge.builder(name, status, held -> held.get().groups().stream().mapToDouble(value).sum())
+    Gauge.builder(name, status, source -> source.get().groups().stream().mapToDouble(value).sum())
         .register(registry);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/MemberMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/MemberMetrics.java
@@ -14,7 +14,7 @@
 public final class MemberMetrics {
   private MemberMetrics() {}
 
-  /** Serves them when the settings name an address; {@code resources} closes the endpoint. */
+  /** Serves the metrics if the settings name an address; {@code resources} closes the endpoint. */
   public static void serve(
       FleetSettings settings,
       EventLoopGroup eventLoops,
@@ -25,7 +25,7 @@
     serve(settings, eventLoops, follower, status, pool, resources, registry -> {});
   }
 
-  /** Serves them beside the metrics of the role, which {@code ofRole} adds. */
+  /** Serves the metrics together with those of the role, which {@code roleMetrics} registers. */
   public static void serve(
       FleetSettings settings,
       EventLoopGroup eventLoops,
@@ -33,7 +33,7 @@
       Supplier<ControllerStatus> status,
       PeerPool pool,
       ResourceStack resources,
-      Consumer<MeterRegistry> ofRole) {
+      Consumer<MeterRegistry> roleMetrics) {
     settings
         .metricsListen()
         .ifPresent(
@@ -46,7 +46,7 @@
                           FleetMetrics.bindView(registry, follower);
                           FleetMetrics.bindGroup(registry, status);
                           FleetMetrics.bindPeers(registry, pool);
-                          ofRole.accept(registry);
+                          roleMetrics.accept(registry);
                         },
                         () -> status.get().isReady())));
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/MetricsEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/MetricsEndpoint.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * Serves the metrics of a process. It begins {@value #START_DELAY_MS} ms after the process, on a
- * thread of its own, so that a start or restart is not held up; what was counted before is there.
+ * Serves the metrics of a process. It starts {@value #START_DELAY_MS} ms after it is created, on
+ * its own thread, so as not to delay the start of the process; earlier counts are included.
  */
 public final class MetricsEndpoint implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(MetricsEndpoint.class);
@@ -30,7 +30,7 @@
   private boolean closed;
   private AdminServer server;
 
-  /** Creates an endpoint; {@code binder} adds the metrics of the role. */
+  /** Creates an endpoint; {@code binder} registers the metrics of the role. */
   public MetricsEndpoint(
       HostPort address,
       EventLoopGroup eventLoops,
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelector.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelector.java
@@ -12,7 +12,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which gateways callers are told of. */
 class TestGatewaySelector {
   private static final GatewaySelector HALF = new GatewaySelector(0.5);
 
@@ -43,9 +42,9 @@
     return gateways.stream().filter(gateway -> gateway.cores() == cores).count();
   }
 
-  /** What gateways bear that get as many requests each. */
-  private static double capacityInCores(List<FleetProcess> named) {
-    return named.size() * named.stream().mapToDouble(FleetProcess::cores).min().orElse(0);
+  /** Returns the total capacity of gateways that get the same number of requests each. */
+  private static double capacityInCores(List<FleetProcess> selected) {
+    return selected.size() * selected.stream().mapToDouble(FleetProcess::cores).min().orElse(0);
   }
 
   @Test
@@ -57,27 +56,28 @@
   @Test
   void selectsSameShareInAnyOrder() {
     List<FleetProcess> ready = gateways(47);
-    List<FleetProcess> named = HALF.select(ready);
+    List<FleetProcess> selected = HALF.select(ready);
     Collections.shuffle(ready, new Random(1));
-    assertThat(named).hasSize(24);
-    assertThat(HALF.select(ready)).isEqualTo(named);
+    assertThat(selected).hasSize(24);
+    assertThat(HALF.select(ready)).isEqualTo(selected);
   }
 
   @Test
   void replacesLostGatewayAndKeepsOthers() {
     List<FleetProcess> ready = gateways(20);
-    List<FleetProcess> named = HALF.select(ready);
-    ready.remove(named.get(3));
+    List<FleetProcess> selected = HALF.select(ready);
+    ready.remove(selected.get(3));
     List<FleetProcess> after = HALF.select(ready);
-    assertThat(after).hasSize(10).doesNotContain(named.get(3));
-    assertThat(after).containsAll(named.stream().filter(g -> !g.equals(named.get(3))).toList());
+    assertThat(after).hasSize(10).doesNotContain(selected.get(3));
+    assertThat(after)
+        .containsAll(selected.stream().filter(g -> !g.equals(selected.get(3))).toList());
   }
 
   @Test
   void equalSizesSelectLikeUnknownSizes() {
     for (int count : new int[] {1, 5, 6, 13, 47}) {
-      List<String> untold = names(HALF.select(gateways(count)));
-      assertThat(names(HALF.select(gateways("front-", count, SMALL)))).isEqualTo(untold);
+      List<String> expected = names(HALF.select(gateways(count)));
+      assertThat(names(HALF.select(gateways("front-", count, SMALL)))).isEqualTo(expected);
     }
   }
 
@@ -95,9 +95,9 @@
   @ParameterizedTest
   @ValueSource(ints = {3, 12, 13, 16, 25})
   void selectsOnlyLargeGatewaysWhenSufficient(int small) {
-    List<FleetProcess> named = HALF.select(zone(4, small));
-    assertThat(named).hasSize(4);
-    assertThat(countWithCores(named, LARGE)).isEqualTo(4);
+    List<FleetProcess> selected = HALF.select(zone(4, small));
+    assertThat(selected).hasSize(4);
+    assertThat(countWithCores(selected, LARGE)).isEqualTo(4);
   }
 
   @Test
@@ -110,9 +110,9 @@
   void mixedSizesSelectSameInAnyOrder() {
     for (int large = 0; large <= 4; large++) {
       List<FleetProcess> ready = zone(large, 13);
-      List<FleetProcess> named = HALF.select(ready);
+      List<FleetProcess> selected = HALF.select(ready);
       Collections.shuffle(ready, new Random(large));
-      assertThat(HALF.select(ready)).isEqualTo(named);
+      assertThat(HALF.select(ready)).isEqualTo(selected);
     }
   }
 
@@ -120,10 +120,10 @@
   void smallGatewaysReplaceLostLargeOnes() {
     for (int large = 0; large < 4; large++) {
       List<FleetProcess> ready = zone(large, 13);
-      List<FleetProcess> named = HALF.select(ready);
-      int before = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
-      assertThat(countWithCores(named, LARGE)).isEqualTo(large);
-      assertThat(named).hasSize(before);
+      List<FleetProcess> selected = HALF.select(ready);
+      int usualCount = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
+      assertThat(countWithCores(selected, LARGE)).isEqualTo(large);
+      assertThat(selected).hasSize(usualCount);
     }
   }
 
@@ -132,12 +132,12 @@
     for (int large = 0; large <= 6; large++) {
       for (int small = 4; small <= 40; small++) {
         List<FleetProcess> ready = zone(large, small);
-        List<FleetProcess> named = HALF.select(ready);
-        int before = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
-        double needed = Math.min(before, ready.size()) * SMALL;
-        assertThat(capacityInCores(named)).isGreaterThanOrEqualTo(needed);
-        assertThat(named.size()).isLessThanOrEqualTo(before);
-        assertThat(capacityInCores(named.subList(2, named.size())))
+        List<FleetProcess> selected = HALF.select(ready);
+        int usualCount = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
+        double needed = Math.min(usualCount, ready.size()) * SMALL;
+        assertThat(capacityInCores(selected)).isGreaterThanOrEqualTo(needed);
+        assertThat(selected.size()).isLessThanOrEqualTo(usualCount);
+        assertThat(capacityInCores(selected.subList(2, selected.size())))
             .isGreaterThanOrEqualTo(needed / 2);
       }
     }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupFounding.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupFounding.java
@@ -64,7 +64,7 @@
     assertThat(groups).extracting(JobsGroupFounders::group).containsExactly(1, 2);
   }
 
-  /** A zone must not hold half of a group if that can be helped: its loss would stop the group. */
+  /** The loss of a zone that holds half of a group would stop the group. */
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 4, 5, 6})
   void groupSpansAllZones(int zones) {
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupRegistry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupRegistry.java
@@ -13,7 +13,6 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which group a store is told to keep. */
 class TestJobsGroupRegistry {
   private static final int TARGET = 3;
   private static final int NEW_STORE = 40;
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownResponder.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownResponder.java
@@ -56,26 +56,26 @@
 
   @Test
   void sendsEverythingToNewProcess() {
-    FleetUpdate told =
+    FleetUpdate answer =
         responder.answerWithoutLeader(newProcessHeartbeat(), SERVING_SINCE_MS).orElseThrow();
-    assertThat(told.isLastKnown()).isTrue();
-    assertThat(told.routes().version()).isEqualTo(VERSION);
-    assertThat(told.engines().full()).isTrue();
-    assertThat(told.engines().changed()).containsExactly(ENGINE);
-    assertThat(told.engines().sequence()).isEqualTo(LIST_SEQUENCE);
+    assertThat(answer.isLastKnown()).isTrue();
+    assertThat(answer.routes().version()).isEqualTo(VERSION);
+    assertThat(answer.engines().full()).isTrue();
+    assertThat(answer.engines().changed()).containsExactly(ENGINE);
+    assertThat(answer.engines().sequence()).isEqualTo(LIST_SEQUENCE);
   }
 
   @Test
   void sendsNoListsToUpToDateProcess() {
     FleetHeartbeat holder = heartbeat(VERSION, NO_EPOCH, LIST_SEQUENCE);
-    FleetUpdate told = responder.answerWithoutLeader(holder, SERVING_SINCE_MS).orElseThrow();
-    assertThat(told.isLastKnown()).isTrue();
-    assertThat(told.routes()).isNull();
-    assertThat(told.engines().full()).isFalse();
-    assertThat(told.engines().changed()).isEmpty();
-    assertThat(told.processes().full()).isFalse();
-    assertThat(told.processes().changed()).isEmpty();
-    assertThat(told.quarantine()).isNull();
+    FleetUpdate answer = responder.answerWithoutLeader(holder, SERVING_SINCE_MS).orElseThrow();
+    assertThat(answer.isLastKnown()).isTrue();
+    assertThat(answer.routes()).isNull();
+    assertThat(answer.engines().full()).isFalse();
+    assertThat(answer.engines().changed()).isEmpty();
+    assertThat(answer.processes().full()).isFalse();
+    assertThat(answer.processes().changed()).isEmpty();
+    assertThat(answer.quarantine()).isNull();
   }
 
   @Test
@@ -102,11 +102,11 @@
   @Test
   void leaderSendsEnginesBeforeFirstRead() {
     FleetHeartbeat withoutEngines = heartbeat(VERSION, NO_EPOCH, 0);
-    EngineListDelta told = responder.enginesBeforeFirstRead(withoutEngines, SERVING_SINCE_MS);
-    assertThat(told.full()).isTrue();
-    assertThat(told.changed()).containsExactly(ENGINE);
-    assertThat(told.epoch()).isEqualTo(NO_EPOCH);
-    FleetHeartbeat holder = heartbeat(VERSION, told.epoch(), told.sequence());
+    EngineListDelta delta = responder.enginesBeforeFirstRead(withoutEngines, SERVING_SINCE_MS);
+    assertThat(delta.full()).isTrue();
+    assertThat(delta.changed()).containsExactly(ENGINE);
+    assertThat(delta.epoch()).isEqualTo(NO_EPOCH);
+    FleetHeartbeat holder = heartbeat(VERSION, delta.epoch(), delta.sequence());
     assertThat(responder.enginesBeforeFirstRead(holder, SERVING_SINCE_MS)).isNull();
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestVersionedList.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestVersionedList.java
@@ -15,29 +15,29 @@
   @Property
   void deltasReproduceTheList(@ForAll List<@IntRange(min = -5, max = 5) Integer> changes) {
     VersionedList<Integer> list = new VersionedList<>();
-    Set<String> truth = new HashSet<>();
+    Set<String> expected = new HashSet<>();
     Set<String> reader = new HashSet<>();
-    long known = 0;
-    boolean follows = false;
+    long sequence = 0;
+    boolean hasList = false;
     for (int change : changes) {
       String key = "k" + Math.abs(change);
       if (change >= 0) {
         list.put(key, Math.abs(change));
-        truth.add(key);
+        expected.add(key);
       } else {
         list.remove(key);
-        truth.remove(key);
+        expected.remove(key);
       }
       if (change % 2 == 0) {
-        VersionedList.Delta<Integer> delta = list.since(known, follows);
+        VersionedList.Delta<Integer> delta = list.since(sequence, hasList);
         if (delta.full()) {
           reader.clear();
         }
         delta.changed().forEach(value -> reader.add("k" + value));
         delta.removed().forEach(reader::remove);
-        known = delta.sequence();
-        follows = true;
-        assertThat(reader).isEqualTo(truth);
+        sequence = delta.sequence();
+        hasList = true;
+        assertThat(reader).isEqualTo(expected);
       }
     }
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestJobsPlacement.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestJobsPlacement.java
@@ -5,7 +5,6 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Jobs are spread evenly and are always found again. */
 class TestJobsPlacement {
   private static final int GROUPS = 7;
   private static final int JOBS = 70_000;
