--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
@@ -7,7 +7,7 @@
 /** Parses queries for the addresses of gateways and encodes the responses. */
 public interface DirectoryProtocol {
 
-  /** A query for gateways near a zone; the zone is empty if not given. */
+  /** A query; {@code zone} is empty if not given. */
   record Query(String zone) {}
 
   /** Parses the query of an exchange; empty if it is not a query. */
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineResponse.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineResponse.java
@@ -3,10 +3,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The status and headers of an engine's response.
+ * Status and headers of an engine's response.
  *
  * @param requestId the request that was answered; empty if not given
- * @param signed whether the response carries the signature of an engine
+ * @param signed whether an engine signed the response
  * @param notRun whether the engine guarantees that the request did not run
  * @param wrongInstance whether another engine answered than the one that was addressed
  * @param load the load of the engine; null if not given
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
@@ -45,8 +45,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A coordinator process: replicates the configuration, tracks the members of the fleet, and serves
- * operators and the directory of gateways.
+ * A coordinator: replicates the configuration, tracks the members, serves operators and the
+ * directory.
  */
 public final class CoordinatorProcess implements FleetMemberProcess {
   /** Number of the replicated group that stores the fleet configuration. */
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Returns the initial members of the group, which are saved at the first start of the system;
-   * empty for a coordinator that joined later.
+   * Returns the initial members of the group, saved at the first start of the system; otherwise
+   * none.
    */
   private Result<Set<String>, StorageError> loadFounders(DataFolder folder) {
     Optional<String> stored = folder.readFile(FOUNDERS_FILE);
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
@@ -10,12 +10,12 @@
 /**
  * Settings of a coordinator.
  *
- * @param operatorsListen address that serves operators
- * @param directoryListen address that serves the directory of gateways to callers
+ * @param operatorsListen address for operators
+ * @param directoryListen address of the directory of gateways
  * @param firstStart whether this is the first start of the whole system, on empty disks
  * @param namedGatewaysShare fraction of the ready gateways that the directory lists if there are
  *     many
- * @param engineList address that serves the list of engines
+ * @param engineList address of the list of engines
  */
 public record CoordinatorSettings(
     FleetSettings fleet,
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
@@ -21,7 +21,7 @@
   private static final long RETRY_DELAY_MS = 300;
   private static final int MAX_PAGES = 1_000;
 
-  /** Limits the memory for reasons, about 100 bytes each. */
+  /** Limits memory: about 100 bytes each. */
   private static final int MAX_LOGGED_REJECTIONS = 256;
 
   private final EventLoop eventLoop;
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
@@ -238,8 +238,7 @@
   }
 
   /**
-   * Returns the group that a store belongs to; a new leader assigns none until all stores had time
-   * to report theirs.
+   * Returns the group of a store; a new leader assigns none until all stores had time to report.
    */
   private int groupFor(FleetProcess sender, long nowMs) {
     if (sender.role() != FleetRole.STORE || nowMs - leaderSinceMs < COLLECTION_PERIOD_MS) {
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
@@ -44,7 +44,7 @@
   /** When this leader first saw each request in quarantine. */
   private final Map<RequestFingerprint, Long> quarantinedSinceMs = new HashMap<>();
 
-  /** Requests that were proposed for quarantine and are not committed yet. */
+  /** Proposed for quarantine, not committed yet. */
   private final Set<RequestFingerprint> proposed = new HashSet<>();
 
   private long nextStepMs;
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
@@ -7,16 +7,16 @@
 import java.util.Objects;
 
 /**
- * A keyed list that numbers its changes, so that a reader is sent only those that it lacks.
+ * A keyed list with numbered changes, so that a reader is sent only what it lacks.
  *
- * @param <V> the type of the entries; replacing an entry by an equal one is no change
+ * @param <V> the type of the entries; equal entries are no change
  */
 final class VersionedList<V> {
   private static final int MAX_REMOVALS = 1_024;
 
   private record Entry<V>(V value, long sequence) {}
 
-  /** The changes that a reader lacks, or the full list. */
+  /** What a reader lacks: changes, or the full list. */
   record Delta<V>(boolean full, List<V> changed, List<String> removed, long sequence) {}
 
   private final Map<String, Entry<V>> entries = new HashMap<>();
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
@@ -124,10 +124,7 @@
     contentionListener = listener;
   }
 
-  /**
-   * Sets a listener that is called on the event loop when another leader answers than before; call
-   * before the start.
-   */
+  /** Sets a listener for new leaders, called on the event loop; call before the start. */
   public void onNewLeader(Runnable listener) {
     newLeaderListener = listener;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
@@ -36,7 +36,7 @@
     int assignedGroup,
     List<Integer> leavingMembers,
     QuarantineList quarantine) {
-  /** The view of a process that has received nothing yet. */
+  /** A view without any information. */
   public static final FleetView EMPTY =
       new FleetView(
           null,
--- a/fleet/src/main/java/io/pathdeck/fleet/member/GroupCallError.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/GroupCallError.java
@@ -1,7 +1,7 @@
 package io.pathdeck.fleet.member;
 
 /**
- * Error of a call that a group did not answer.
+ * Error of an unanswered call to a group.
  *
  * @param mayHaveRun whether the command may have taken effect or may still do so
  */
--- a/fleet/src/main/java/io/pathdeck/fleet/member/ReportInterval.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/ReportInterval.java
@@ -23,7 +23,7 @@
   private boolean everAnswered;
   private long firstAnsweredNs;
 
-  /** Creates the interval of a process that started at {@code startNs}. */
+  /** Creates the interval of a starting process. */
   ReportInterval(long startNs) {
     this.startNs = startNs;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/ViewFreshness.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/ViewFreshness.java
@@ -43,7 +43,7 @@
   private volatile long lastKnownLatestNs;
   private volatile boolean lastKnownReceived;
 
-  /** Creates the freshness of a view that has not been received yet. */
+  /** Creates the freshness of an unknown view. */
   ViewFreshness(long processStartNs) {
     this.processStartNs = processStartNs;
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestViewFreshness.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestViewFreshness.java
@@ -8,11 +8,11 @@
 class TestViewFreshness {
   private static final long START_NS = -5;
 
-  /** The freshness in a process past its startup. */
+  /** In a process past its startup. */
   private final ViewFreshness freshness =
       new ViewFreshness(after(-ViewFreshness.STARTUP_PERIOD_MS));
 
-  /** The freshness in a process that is starting. */
+  /** In a starting process. */
   private final ViewFreshness starting = new ViewFreshness(START_NS);
 
   private static long after(long ms) {
