--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -23,26 +23,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to one life of an engine.
+ * One connection to one engine instance.
  *
- * <p>An engine may answer twice, the second time late, in the place of the next answer on the
- * connection. Its answers name the request, not the send. So a connection carries each request once
- * only, and an answer belongs to the call under way only if it names the call's request. A failure
- * that names none may be the second answer to a call without a request, and breaks the call off as
- * one that may have run. An answer that names another request is skipped. What arrives while no
- * call is under way belongs to nobody. A connection on which something was dropped is not kept.
+ * <p>An engine may send a second response to a call late, in place of the response to the next call
+ * on the connection. Responses name the request but not the attempt. So a connection carries each
+ * request only once, and accepts a response only if it names the request of the current call. An
+ * error response that names no request may be a second response to a call without a request: it
+ * fails the current call as one that may have run. A response that names another request is
+ * skipped. Data that arrives without a call in progress is dropped. A connection that dropped
+ * anything is not reused.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog EVENTS = EventLog.of(EngineConnection.class);
   private static final String NONE = "";
 
   /**
-   * Bounds what a connection remembers, about 90 bytes an id and so 23 KB, at the price of one new
+   * Bounds the request ids kept by a connection to about 23 KB, at 90 bytes each; costs one new
    * connection in 256 calls.
    */
   private static final int MAX_REQUESTS_PER_CONNECTION = 256;
 
-  /** How much sooner than the engine this side gives an idle connection up. */
+  /** How much earlier than the engine this side stops using an idle connection. */
   private static final long IDLE_MARGIN_MS = 600;
 
   private enum ReadState {
@@ -87,7 +88,7 @@
     context = added;
   }
 
-  /** Whether an answer to {@code requestId} could not be taken for one to an earlier send of it. */
+  /** Whether {@code requestId} was not sent here before: responses do not tell attempts apart. */
   boolean canSend(String requestId) {
     return !sentRequestIds.contains(requestId);
   }
@@ -113,7 +114,7 @@
     return context.channel().isActive() && idleMs < limit;
   }
 
-  /** Keeps a connection that came up after its call was given up. */
+  /** Keeps a connection that was established after its call was canceled. */
   void keepUnused() {
     idleSinceNs = System.nanoTime();
     owner.addIdle(this);
@@ -163,32 +164,32 @@
       readState = ReadState.SKIPPED_BODY;
       return;
     }
-    EngineResponse answer = protocol.read(head);
+    EngineResponse response = protocol.read(head);
     boolean success = status.codeClass() == HttpStatusClass.SUCCESS;
-    if (!answer.requestId().equals(currentCall.call().requestId())) {
+    if (!response.requestId().equals(currentCall.call().requestId())) {
       logDropped(head, "it names another request");
       responseDropped = true;
       readState = ReadState.SKIPPED_BODY;
-      if (!success && answer.requestId().equals(EngineCall.NO_REQUEST_ID)) {
+      if (!success && response.requestId().equals(EngineCall.NO_REQUEST_ID)) {
         abortCall("a failure that names no request");
       }
       return;
     }
-    if (success && currentCall.call().hasRequestId() && !answer.signed()) {
+    if (success && currentCall.call().hasRequestId() && !response.signed()) {
       abortCall("a success without a signature");
       return;
     }
     readState = ReadState.BODY;
     keepAlive = HttpUtil.isKeepAlive(head) && !endsWithConnection(head);
-    engineIdleTimeoutMs = answer.idleTimeoutMs();
-    currentCall.listener().onHead(answer);
+    engineIdleTimeoutMs = response.idleTimeoutMs();
+    currentCall.listener().onHead(response);
   }
 
   private void logDropped(HttpObject message, String reason) {
-    String named = NONE;
+    String namedRequestId = NONE;
     String status = NONE;
     if (message instanceof HttpResponse head) {
-      named = protocol.read(head).requestId();
+      namedRequestId = protocol.read(head).requestId();
       status = String.valueOf(head.status().code());
     }
     EVENTS.log(
@@ -198,7 +199,7 @@
         "awaited",
         currentCall == null ? NONE : currentCall.call().requestId(),
         "named",
-        named,
+        namedRequestId,
         "status",
         status,
         "reason",
@@ -224,7 +225,7 @@
   }
 
   private void completeCall() {
-    PendingCall ended = currentCall;
+    PendingCall completed = currentCall;
     currentCall = null;
     completedCalls++;
     resumeReading();
@@ -235,13 +236,13 @@
     } else {
       close();
     }
-    ended.complete();
+    completed.complete();
   }
 
   private boolean isReusable() {
-    boolean undisturbed = requestWritten.isDone() && !responseDropped;
+    boolean clean = requestWritten.isDone() && !responseDropped;
     boolean hasRoom = sentRequestIds.size() < MAX_REQUESTS_PER_CONNECTION;
-    return keepAlive && undisturbed && hasRoom && context.channel().isActive();
+    return keepAlive && clean && hasRoom && context.channel().isActive();
   }
 
   private void abortCall(String reason) {
@@ -249,15 +250,15 @@
   }
 
   private void onConnectionLost(String reason) {
-    boolean silent = usedBefore && !responseStarted;
-    fail(silent ? EngineFailure.CLOSED_BEFORE_ANSWER : EngineFailure.CONNECTION_ENDED, reason);
+    boolean noResponse = usedBefore && !responseStarted;
+    fail(noResponse ? EngineFailure.CLOSED_BEFORE_ANSWER : EngineFailure.CONNECTION_ENDED, reason);
   }
 
   private void fail(EngineFailure failure, String reason) {
-    PendingCall broken = currentCall;
+    PendingCall failed = currentCall;
     close();
-    if (broken != null) {
-      broken.fail(failure, reason);
+    if (failed != null) {
+      failed.fail(failure, reason);
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineListener.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineListener.java
@@ -2,17 +2,17 @@
 
 import io.pathdeck.fleet.adapter.EngineResponse;
 
-/** Hears of one call, on the event loop. After an end or a failure nothing follows. */
+/** Receives the events of one call on the event loop; nothing follows an end or a failure. */
 public interface EngineListener {
-  /** The head of the answer to this call. */
-  void onHead(EngineResponse answer);
+  /** The head of the response arrived. */
+  void onHead(EngineResponse response);
 
-  /** Bytes of the answer's body. */
+  /** A part of the response body arrived. */
   void onBody(byte[] part);
 
-  /** The answer is whole. */
+  /** The response is complete. */
   void onEnd();
 
-  /** No whole answer will come. */
+  /** The call failed; no complete response will arrive. */
   void onFailure(EngineFailure failure, String reason);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
@@ -15,16 +15,16 @@
 import java.util.function.Consumer;
 
 /**
- * Finds out whether an engine has ended or only a connection to it; confined to the event loop.
+ * Determines whether an engine is down or only a connection to it was lost; confined to the event
+ * loop.
  *
- * <p>Resets, garbled answers and cuts of the network end connections of engines that live on. So a
- * lost connection alone proves nothing: the engine is asked for its load on another connection. It
- * has ended when nothing listens at its address and no other connection to it is open, when another
- * engine answers there, or when it tells that its life began at another time. An engine that is
- * silent is not known to have ended.
+ * <p>Resets, corrupt responses and network partitions also break connections to running engines, so
+ * the probe requests the engine's load on another connection. The engine is down if its address
+ * refuses connections and no other connection to it is open, if another engine responds there, or
+ * if it reports a different start time. A timeout proves nothing.
  */
 public final class EngineLivenessProbe {
-  /** What was found out. */
+  /** The result of a probe. */
   public enum Verdict {
     ENDED,
     ALIVE,
@@ -33,10 +33,10 @@
 
   private static final int OK = 200;
 
-  /** A few round trips; an engine that runs answers within some milliseconds. */
+  /** Several round trips; a running engine responds within a few milliseconds. */
   private static final long TIMEOUT_MS = 500;
 
-  /** A kept connection may end with its engine and be noticed only when it is used. */
+  /** A kept connection may have closed with its engine and fail only when it is used. */
   private static final int MAX_ATTEMPTS = 3;
 
   private final EventLoop eventLoop;
@@ -44,7 +44,7 @@
   private final EngineProtocol protocol;
   private final Map<String, List<Consumer<Verdict>>> pendingReceivers = new HashMap<>();
 
-  /** Asks engines over {@code transport}. */
+  /** Creates a probe that calls engines over {@code transport}. */
   public EngineLivenessProbe(
       EventLoop eventLoop, NettyEngineTransport transport, EngineProtocol protocol) {
     this.eventLoop = eventLoop;
@@ -53,41 +53,42 @@
   }
 
   /**
-   * Tells {@code receiver} whether a life of an engine has ended; one question at a time a life.
+   * Reports to {@code receiver} whether an engine instance is down; concurrent checks of an
+   * instance share one probe.
    */
   public void check(EngineInstance engine, Consumer<Verdict> receiver) {
-    List<Consumer<Verdict>> waiting = pendingReceivers.get(engine.lifeId());
-    if (waiting != null) {
-      waiting.add(receiver);
+    List<Consumer<Verdict>> receivers = pendingReceivers.get(engine.lifeId());
+    if (receivers != null) {
+      receivers.add(receiver);
       return;
     }
-    waiting = new ArrayList<>();
-    waiting.add(receiver);
-    pendingReceivers.put(engine.lifeId(), waiting);
-    // Later, so that all connections that ended with the engine are known to have ended.
+    receivers = new ArrayList<>();
+    receivers.add(receiver);
+    pendingReceivers.put(engine.lifeId(), receivers);
+    // Deferred until the closing of all connections to the engine has been processed.
     eventLoop.execute(() -> new Probe(engine).ask());
   }
 
   /**
-   * Whether an engine that has just refused a connection has ended. One that has too many
-   * connections refuses more, too, but then some of them are open.
+   * Whether an engine that just refused a connection is down. An engine at its connection limit
+   * refuses connections too, but then some are open.
    */
   public boolean isDown(EngineInstance engine) {
     return transport.openConnections(engine) == 0;
   }
 
   private void notifyReceivers(EngineInstance engine, Verdict verdict) {
-    List<Consumer<Verdict>> waiting = pendingReceivers.remove(engine.lifeId());
-    if (waiting != null) {
-      waiting.forEach(receiver -> receiver.accept(verdict));
+    List<Consumer<Verdict>> receivers = pendingReceivers.remove(engine.lifeId());
+    if (receivers != null) {
+      receivers.forEach(receiver -> receiver.accept(verdict));
     }
   }
 
-  /** One question to one engine, asked again while connections end under it. */
+  /** Requests the load of one engine; retries when the connection is lost. */
   private final class Probe implements EngineListener {
     private final EngineInstance engine;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private EngineResponse answer;
+    private EngineResponse response;
     private EngineTransport.Handle handle;
     private int attempts;
     private boolean decided;
@@ -121,7 +122,7 @@
 
     @Override
     public void onHead(EngineResponse head) {
-      answer = head;
+      response = head;
     }
 
     @Override
@@ -131,12 +132,12 @@
 
     @Override
     public void onEnd() {
-      if (answer.wrongInstance()) {
+      if (response.wrongInstance()) {
         finish(Verdict.ENDED);
-      } else if (answer.status() == OK) {
+      } else if (response.status() == OK) {
         Optional<EngineLoadReport> report = protocol.readReport(body.toByteArray());
-        boolean otherLife = report.isPresent() && engine.isOtherLife(report.get().bornMs());
-        finish(otherLife ? Verdict.ENDED : Verdict.ALIVE);
+        boolean restarted = report.isPresent() && engine.isOtherLife(report.get().bornMs());
+        finish(restarted ? Verdict.ENDED : Verdict.ALIVE);
       } else {
         finish(Verdict.ALIVE);
       }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
@@ -7,29 +7,28 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Chooses an engine for a request.
+ * Chooses the engine with the lowest cost for a request.
  *
- * <p>Each engine has a cost: its load, the prompt tokens that it has to read first, and the time
- * that calls of late waited there. A prompt with a long shared prefix has a home, the same engine
- * for all processes (rendezvous hashing), which probably keeps the prefix in its cache; everywhere
- * else the prefix has to be read again. So the home is taken until its load outweighs that. Among
- * equals an engine of the own zone is taken.
+ * <p>The cost is the sum of the engine's load, the prompt tokens that it has to prefill, recent
+ * waits there, and a penalty for another zone. Each long shared prefix has an owner, found by
+ * rendezvous hashing and thus the same for all processes, which probably has the prefix in its
+ * cache. Any other engine would prefill the prefix again, so the owner is chosen until its load
+ * outweighs that.
  *
- * <p>Where the engines of a service tell their pace, the load and the prompts count by the time
- * that they take at this engine: a slow one is taken when it is emptier, and before a fast one that
- * is full.
+ * <p>If the engines of a service report their pace, load and prompts are weighted by it: a slow
+ * engine is chosen if it has less load, and before a fast one that is full.
  */
 public final class EngineLoadBalancer {
-  /** From this many shared tokens on a prompt has a home. */
+  /** Shorter shared prefixes have no owner. */
   private static final long MIN_AFFINITY_TOKENS = 1_500;
 
-  /** How much load, as a share of an engine's slots, a way to another zone is worth. */
+  /** Cost of an engine in another zone, as a share of its slots. */
   private static final double OTHER_ZONE_PENALTY = 0.3;
 
-  /** How many unread prompt tokens are worth an engine's whole load. */
+  /** Tokens to prefill that cost as much as a full load. */
   private static final double TOKENS_PER_FULL_LOAD = 12_000;
 
-  /** How long calls of late waited for their first bytes when that is worth a whole load. */
+  /** Recent wait for the first bytes that costs as much as a full load. */
   private static final double WAIT_MS_PER_FULL_LOAD = 600;
 
   private static final double JITTER = 0.02;
@@ -38,33 +37,33 @@
   private final String zone;
   private final SplittableRandom random;
 
-  /** Chooses for a process in {@code zone}. */
+  /** Creates a load balancer for a process in {@code zone}. */
   public EngineLoadBalancer(String zone, long seed) {
     this.zone = zone;
     this.random = new SplittableRandom(seed);
   }
 
-  /** Chooses among {@code candidates}, all of one service; empty when there is none. */
+  /** Chooses among {@code candidates}, all of one service; empty if there are none. */
   public Optional<Placement> choose(List<EngineState> candidates, Prompt prompt, long nowMs) {
     return choose(candidates, ServicePace.of(candidates, nowMs), prompt, nowMs);
   }
 
-  /** Chooses among {@code candidates}, some engines of a service with this {@code pace}. */
+  /** Chooses among {@code candidates}, engines of a service with this {@code pace}. */
   public Optional<Placement> choose(
       List<EngineState> candidates, ServicePace pace, Prompt prompt, long nowMs) {
-    Optional<EngineState> home = prefixOwner(candidates, prompt);
+    Optional<EngineState> owner = prefixOwner(candidates, prompt);
     Placement best = null;
     double bestCost = Double.MAX_VALUE;
     for (EngineState engine : candidates) {
-      boolean cached = home.filter(engine::equals).isPresent();
-      long tokensToRead = prompt.tokens() - (cached ? prompt.sharedPrefixTokens() : 0);
+      boolean cached = owner.filter(engine::equals).isPresent();
+      long prefillTokens = prompt.tokens() - (cached ? prompt.sharedPrefixTokens() : 0);
       double cost =
-          workCost(engine, tokensToRead, pace, nowMs)
+          workCost(engine, prefillTokens, pace, nowMs)
               + engine.recentWaitMs(nowMs) / WAIT_MS_PER_FULL_LOAD
               + zonePenalty(engine)
               + random.nextDouble() * JITTER;
       if (cost < bestCost) {
-        best = new Placement(engine, tokensToRead);
+        best = new Placement(engine, prefillTokens);
         bestCost = cost;
       }
     }
@@ -72,15 +71,14 @@
   }
 
   /**
-   * The load and the unread prompts. Where engines are uneven it is the time that this work and the
-   * request itself take there: so the request counts with its own place, else a slow engine would
-   * be as good as a fast one whenever both look empty, which is often, because most of their
-   * requests come from other processes.
+   * Cost of load and prefill. If engines are uneven, it is weighted by pace and includes the
+   * request's own slot: otherwise a slow engine would cost as little as a fast one whenever both
+   * look empty, which is often, because most of their requests come from other processes.
    */
   private static double workCost(
-      EngineState engine, long tokensToRead, ServicePace pace, long nowMs) {
-    double unread = (engine.pendingPrefillTokens() + tokensToRead) / TOKENS_PER_FULL_LOAD;
-    double work = load(engine, nowMs) + unread;
+      EngineState engine, long prefillTokens, ServicePace pace, long nowMs) {
+    double prefill = (engine.pendingPrefillTokens() + prefillTokens) / TOKENS_PER_FULL_LOAD;
+    double work = load(engine, nowMs) + prefill;
     return pace.isUneven() ? (work + 1.0 / slots(engine)) * pace.currentRelativePace(engine) : work;
   }
 
@@ -88,14 +86,14 @@
     return engine.instance().zone().equals(zone) ? 0 : OTHER_ZONE_PENALTY;
   }
 
-  /** The load as a share of the engine's slots. */
+  /** Estimated load as a share of the engine's slots. */
   public static double load(EngineState engine, long nowMs) {
     return engine.estimatedLoad(nowMs) / slots(engine);
   }
 
   private static int slots(EngineState engine) {
-    int told = engine.instance().slots();
-    return told > 0 ? told : DEFAULT_SLOTS;
+    int reported = engine.instance().slots();
+    return reported > 0 ? reported : DEFAULT_SLOTS;
   }
 
   private static Optional<EngineState> prefixOwner(List<EngineState> candidates, Prompt prompt) {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadClient.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadClient.java
@@ -11,7 +11,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.function.BiConsumer;
 
-/** Asks engines for their load; confined to the event loop. */
+/** Requests load reports from engines; confined to the event loop. */
 public final class EngineLoadClient {
   private static final int OK = 200;
   private static final long DEADLINE_MS = 500;
@@ -20,7 +20,7 @@
   private final EngineProtocol protocol;
   private final BiConsumer<String, EngineLoadReport> listener;
 
-  /** Tells {@code listener} each load that an engine reports, with the engine's id. */
+  /** Creates a client that passes each report with the engine's id to {@code listener}. */
   public EngineLoadClient(
       EngineTransport transport,
       EngineProtocol protocol,
@@ -30,12 +30,12 @@
     this.listener = listener;
   }
 
-  /** Asks one engine; nothing is told when it does not answer. */
+  /** Requests the load of one engine; the listener is not called if that fails. */
   public void fetch(EngineInstance engine) {
     transport.start(reportCall(protocol, engine), new ReportListener(engine.id()));
   }
 
-  /** The call that asks an engine for its load. */
+  /** Creates the call that requests an engine's load. */
   static EngineCall reportCall(EngineProtocol protocol, EngineInstance engine) {
     return new EngineCall(
         engine,
@@ -60,8 +60,8 @@
     }
 
     @Override
-    public void onHead(EngineResponse answer) {
-      status = answer.status();
+    public void onHead(EngineResponse response) {
+      status = response.status();
     }
 
     @Override
@@ -80,7 +80,7 @@
 
     @Override
     public void onFailure(EngineFailure failure, String reason) {
-      // A report that does not come changes nothing that is known.
+      // The last known load stays in use.
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
@@ -5,15 +5,15 @@
 import java.nio.charset.StandardCharsets;
 import net.openhft.hashing.LongHashFunction;
 
-/** What this process knows of one life of an engine; confined to one thread. */
+/** What this process knows of one engine instance; confined to one thread. */
 public final class EngineState {
   private static final long FIRST_EJECTION_MS = 500;
   private static final long MAX_EJECTION_MS = 4_000;
 
   /**
-   * How long an engine that has ended gets nothing, not even when no other is left: the list shows
-   * its end and its return some seconds late, and a request that meets some refused connections is
-   * refused itself.
+   * How long an engine that is down gets no calls, even if no other engine is left: the engine list
+   * shows its end and its restart some seconds late, and a request is rejected after several
+   * refused connections.
    */
   private static final long DOWN_PAUSE_MS = 1_000;
 
@@ -49,17 +49,17 @@
     instance = newer;
   }
 
-  /** The engine as the list shows it. */
+  /** The engine as listed. */
   public EngineInstance instance() {
     return instance;
   }
 
-  /** Names this life of the engine in a few bytes, alike in all processes. */
+  /** Short id of this engine instance, the same in all processes. */
   public long instanceHash() {
     return instanceHash;
   }
 
-  /** The calls of this process that are under way. */
+  /** Number of calls of this process in progress. */
   public int inFlight() {
     return inFlight;
   }
@@ -73,50 +73,50 @@
     lastStartMs = nowMs;
   }
 
-  /** A call has ended, however. */
+  /** A call ended, successfully or not. */
   public void onEnd() {
     inFlight--;
   }
 
-  /** A call with this prompt was sent and has brought nothing yet. */
+  /** A call was sent whose prompt the engine still has to prefill. */
   public void onPromptSent(long promptTokens) {
     pendingPrefillTokens += promptTokens;
   }
 
-  /** A call with this prompt has brought its first bytes, or has ended without. */
+  /** A call received its first bytes, or ended without any. */
   public void onPrefillDone(long promptTokens) {
     pendingPrefillTokens -= promptTokens;
   }
 
-  /** The tokens of this process's prompts that the engine has probably not read yet. */
+  /** Prompt tokens of this process that the engine has probably not prefilled yet. */
   public long pendingPrefillTokens() {
     return pendingPrefillTokens;
   }
 
-  /** The engine has sent something. */
+  /** Data arrived from the engine. */
   public void onDataReceived(long nowMs) {
     lastReceivedMs = nowMs;
     failures = 0;
   }
 
-  /** For how long nothing was heard while calls are under way; 0 when none is. */
+  /** Time since data last arrived while calls are in progress; 0 if none are. */
   public long silenceMs(long nowMs) {
     return inFlight == 0 ? 0 : nowMs - lastReceivedMs;
   }
 
-  /** A call brought its first bytes after {@code waitMs} beyond the reading of its prompt. */
+  /** The first bytes of a call arrived {@code waitMs} later than prefill alone takes. */
   public void onFirstBytes(long waitMs, long nowMs) {
     double recent = recentWaitMs(nowMs);
     recentWaitMs = recent + (waitMs - recent) * NEW_WAIT_WEIGHT;
     waitUpdatedAtMs = nowMs;
   }
 
-  /** How long calls of late waited for their first bytes; it fades with time. */
+  /** Average recent wait for the first bytes; decays with time. */
   public double recentWaitMs(long nowMs) {
     return recentWaitMs * Math.pow(0.5, (nowMs - waitUpdatedAtMs) / WAIT_HALF_LIFE_MS);
   }
 
-  /** The engine told its load. */
+  /** The engine reported its load. */
   public void onLoadReport(EngineLoadReport report, long nowMs) {
     int known = inFlight + peerCalls;
     otherCallsAtReport = Math.max(0, report.running() + report.waiting() - known);
@@ -131,39 +131,39 @@
     return pace;
   }
 
-  /** Other processes have told how many calls of theirs are under way here. */
+  /** Peers reported how many of their calls are in progress at this engine. */
   public void onPeerCalls(int calls) {
     peerCalls = calls;
   }
 
-  /** The calls that peers have told. */
+  /** Number of calls in progress that peers reported. */
   public int peerCalls() {
     return peerCalls;
   }
 
-  /** Whether the engine says how long work takes there: it shares its machine with others. */
+  /** Whether the engine reports its pace, because it shares its machine with others. */
   public boolean reportsPace() {
     return pace.isReported();
   }
 
-  /** A call failed for a reason that speaks against the engine. */
+  /** A call failed because of the engine; ejects it with exponential backoff. */
   public void onFailure(long nowMs) {
     failures++;
     long shift = Math.min(failures - 1, 3);
     ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << shift);
   }
 
-  /** The engine refused a call because it is full. */
+  /** The engine rejected a call because it is full. */
   public void onFull(long nowMs, long forMs) {
     ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + forMs);
   }
 
-  /** Another engine has the address now. */
+  /** The engine is no longer listed, or another engine has its address. */
   public void onGone() {
     gone = true;
   }
 
-  /** This life of the engine has ended. */
+  /** This engine instance is down. */
   public void onDown(long nowMs) {
     downUntilMs = nowMs + DOWN_PAUSE_MS;
   }
@@ -173,14 +173,14 @@
     return !isOutOfService(nowMs) && nowMs >= ejectedUntilMs;
   }
 
-  /** Whether calls must not be sent, however few other engines there are. */
+  /** Whether no calls may be sent, even if no other engine is left. */
   public boolean isOutOfService(long nowMs) {
     return gone || instance.draining() || nowMs < downUntilMs;
   }
 
   /**
-   * The requests on the engine: this process's own, those that peers tell, and those of others that
-   * the newest report showed beyond these.
+   * Estimated number of requests at the engine: those of this process, those that peers reported,
+   * and the others in the latest load report, weighted by its age.
    */
   public double estimatedLoad(long nowMs) {
     double age = nowMs - reportedAtMs;
@@ -188,12 +188,12 @@
     return inFlight + peerCalls + otherCallsAtReport * weight;
   }
 
-  /** How old the engine's newest report of its load is; -1 when there is none. */
+  /** Age of the latest load report; -1 if there is none. */
   public long loadAgeMs(long nowMs) {
     return reportedAtMs < 0 ? -1 : nowMs - reportedAtMs;
   }
 
-  /** When the newest call was sent. */
+  /** When the latest call was sent. */
   long lastStartMs() {
     return lastStartMs;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The engines that this process knows, by id; confined to one thread. */
+/** The engines known to this process, by id; confined to one thread. */
 public final class EngineTable {
   private final Map<String, EngineState> engines = new HashMap<>();
   private final long reportHalfLifeMs;
 
   /**
-   * An empty table.
+   * Creates an empty table.
    *
-   * @param reportHalfLifeMs after which a report of an engine's load counts half
+   * @param reportHalfLifeMs half-life of the weight of an engine's load report
    */
   public EngineTable(long reportHalfLifeMs) {
     this.reportHalfLifeMs = reportHalfLifeMs;
   }
 
-  /** Follows the list; an engine that is no longer listed gets nothing new. */
+  /** Applies the list of engines; an engine that is no longer listed gets no new calls. */
   public void update(Map<String, EngineInstance> listed) {
     engines
         .entrySet()
@@ -37,7 +37,9 @@
     listed.forEach(this::update);
   }
 
-  /** An engine that began another life is another one: nothing of the earlier life holds. */
+  /**
+   * Replaces the state of a restarted engine, since nothing known of the earlier instance holds.
+   */
   private void update(String id, EngineInstance instance) {
     EngineState known = engines.get(id);
     if (known != null && known.instance().lifeId().equals(instance.lifeId())) {
@@ -50,7 +52,7 @@
     engines.put(id, new EngineState(instance, reportHalfLifeMs));
   }
 
-  /** A life of an engine has ended. */
+  /** Marks an engine instance as down; ignored if another instance has replaced it. */
   public void onDown(EngineInstance engine, long nowMs) {
     EngineState known = engines.get(engine.id());
     if (known != null && known.instance().lifeId().equals(engine.lifeId())) {
@@ -58,7 +60,7 @@
     }
   }
 
-  /** Whether an engine says how long work takes there. */
+  /** Whether any engine reports its pace. */
   public boolean anyReportsPace() {
     for (EngineState engine : engines.values()) {
       if (engine.reportsPace()) {
@@ -78,7 +80,7 @@
     return engines.get(id);
   }
 
-  /** How long work takes at the engines of a service, whether or not they may get a call. */
+  /** Pace of a service from all its engines, including those that may not get a call. */
   public ServicePace pace(String service, long nowMs) {
     List<EngineState> ofService = new ArrayList<>();
     for (EngineState engine : engines.values()) {
@@ -102,16 +104,19 @@
     return usable;
   }
 
-  /** The engines of a service that are not away, whether or not they failed of late. */
+  /**
+   * The engines of a service that are in service and not in {@code excluded}, including those
+   * ejected after failures.
+   */
   public List<EngineState> inService(String service, Set<String> excluded, long nowMs) {
-    List<EngineState> listed = new ArrayList<>();
+    List<EngineState> inService = new ArrayList<>();
     for (EngineState engine : engines.values()) {
       EngineInstance instance = engine.instance();
       boolean candidate = instance.service().equals(service) && !excluded.contains(instance.id());
       if (candidate && !engine.isOutOfService(nowMs)) {
-        listed.add(engine);
+        inService.add(engine);
       }
     }
-    return listed;
+    return inService;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTransport.java
@@ -2,21 +2,24 @@
 
 import io.pathdeck.fleet.adapter.EngineCall;
 
-/** The way to engines. */
+/** Sends calls to engines. */
 public interface EngineTransport {
 
-  /** A call under way. */
+  /** A call in progress. */
   interface Handle {
-    /** Gives the call up; nothing is reported afterwards and the engine sees its caller leave. */
+    /**
+     * Cancels the call and closes the connection that carries it; the listener receives nothing
+     * more.
+     */
     void cancel();
 
-    /** Reads the answer no further for now; bounded by the caller, since engines cut off. */
+    /** Stops reading the response; the caller must bound the pause, since engines time out. */
     default void pauseReading() {}
 
-    /** Reads the answer on. */
+    /** Resumes reading the response. */
     default void resumeReading() {}
   }
 
-  /** Starts a call; to be used on the event loop. */
+  /** Starts a call; must run on the event loop. */
   Handle start(EngineCall call, EngineListener listener);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * How long idle connections to a service's engines may be used, learnt from those that engines
- * closed: a request on a connection that is being closed may be lost.
+ * How long idle connections to the engines of a service may be reused, learned from the connections
+ * that engines closed. A request sent while the engine closes the connection may be lost.
  */
 final class IdleTimeouts {
   private static final long DEFAULT_LIMIT_MS = 4_000;
@@ -19,7 +19,7 @@
   }
 
   void onIdleClosed(String service, long idleMs) {
-    long limit = Math.max(MIN_LIMIT_MS, (long) (idleMs * SAFETY_FACTOR));
-    limits.merge(service, limit, Math::min);
+    long limitMs = Math.max(MIN_LIMIT_MS, (long) (idleMs * SAFETY_FACTOR));
+    limits.merge(service, limitMs, Math::min);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
@@ -24,10 +24,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls engines over kept HTTP/1.1 connections; confined to one event loop.
+ * Calls engines over persistent HTTP/1.1 connections; confined to one event loop.
  *
- * <p>A connection belongs to one life of an engine and carries one call at a time. It is kept only
- * after a whole answer, and used again only well within the time for which the engine keeps it.
+ * <p>A connection belongs to one engine instance and carries one call at a time. It is kept only
+ * after a complete response, and reused only well within the engine's idle timeout.
  */
 public final class NettyEngineTransport implements EngineTransport {
   private static final int CONNECT_TIMEOUT_MS = 400;
@@ -56,7 +56,7 @@
         this::closeExpired, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** How many connections were opened so far. */
+  /** Number of connections opened so far. */
   public long connectionsOpened() {
     return connectionsOpened;
   }
@@ -73,7 +73,7 @@
     return pending;
   }
 
-  /** The newest kept connection that may carry {@code call}, or null. */
+  /** Takes the most recently used idle connection that may carry {@code call}, or null. */
   private EngineConnection takeIdle(EngineCall call) {
     Deque<EngineConnection> connections =
         idleConnections.getOrDefault(call.engine().lifeId(), NO_CONNECTIONS);
@@ -139,22 +139,22 @@
   }
 
   private void onConnectionClosed(String lifeId) {
-    openConnectionCounts.computeIfPresent(lifeId, (life, count) -> count > 1 ? count - 1 : null);
+    openConnectionCounts.computeIfPresent(lifeId, (id, count) -> count > 1 ? count - 1 : null);
   }
 
-  /** How many connections to a life of an engine are open, idle ones included. */
+  /** Number of open connections to an engine instance, including idle ones. */
   int openConnections(EngineInstance engine) {
     return openConnectionCounts.getOrDefault(engine.lifeId(), 0);
   }
 
-  /** Keeps a connection whose last answer was whole. */
+  /** Keeps a connection for reuse. */
   void addIdle(EngineConnection connection) {
     idleConnections
         .computeIfAbsent(connection.lifeId(), key -> new ArrayDeque<>())
         .addFirst(connection);
   }
 
-  /** Forgets a kept connection that this side closes. */
+  /** Removes an idle connection that this side closes. */
   void removeIdle(EngineConnection connection) {
     Deque<EngineConnection> connections = idleConnections.get(connection.lifeId());
     if (connections != null) {
@@ -162,7 +162,7 @@
     }
   }
 
-  /** A kept connection was closed by the engine after {@code idleMs} without use. */
+  /** The engine closed an idle connection that was unused for {@code idleMs}. */
   void onIdleClosed(EngineConnection connection, String service, long idleMs) {
     Deque<EngineConnection> connections = idleConnections.get(connection.lifeId());
     if (connections != null && connections.remove(connection)) {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/PendingCall.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/PendingCall.java
@@ -2,7 +2,7 @@
 
 import io.pathdeck.fleet.adapter.EngineCall;
 
-/** A call that has not ended, with whoever listens to it; confined to the event loop. */
+/** A call in progress and its listener; confined to the event loop. */
 final class PendingCall implements EngineTransport.Handle {
   private final EngineCall call;
   private final EngineListener listener;
@@ -26,8 +26,8 @@
     return done;
   }
 
-  void onSent(EngineConnection carrier) {
-    connection = carrier;
+  void onSent(EngineConnection usedConnection) {
+    connection = usedConnection;
   }
 
   void complete() {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/Placement.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/Placement.java
@@ -1,8 +1,8 @@
 package io.pathdeck.fleet.engine;
 
 /**
- * Where a request goes.
+ * The engine chosen for a request.
  *
- * @param prefillTokens how many tokens of its prompt the engine probably has to read
+ * @param prefillTokens estimated number of prompt tokens that the engine has to prefill
  */
 public record Placement(EngineState engine, long prefillTokens) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/Prompt.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/Prompt.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * What is known of a prompt before it is sent.
+ * Length of a prompt and of the prefix that it may share with other prompts.
  *
- * @param tokens all its tokens; 0 when not known
- * @param sharedPrefixId the last part that other prompts may share, which stands for the whole
- *     prefix up to it; empty when nothing is shared
- * @param sharedPrefixTokens the tokens of that prefix
+ * @param tokens number of tokens of the whole prompt; 0 if unknown
+ * @param sharedPrefixId id of the last part that other prompts may share; it identifies the whole
+ *     prefix up to that part and is empty if nothing is shared
+ * @param sharedPrefixTokens number of tokens of that prefix
  */
 public record Prompt(long tokens, String sharedPrefixId, long sharedPrefixTokens) {
-  /** A prompt of which nothing is known. */
+  /** A prompt of unknown length without a shared prefix. */
   public static final Prompt UNKNOWN = new Prompt(0, "", 0);
 
-  /** Reads the parts of a prompt in their order; the last one belongs to the request itself. */
+  /** Creates a prompt from its parts in order; the last part is specific to the request. */
   public static Prompt of(long tokens, List<PromptPart> parts) {
     if (parts.size() < 2) {
       return new Prompt(tokens, "", 0);
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/ServicePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/ServicePace.java
@@ -3,20 +3,20 @@
 import java.util.Collection;
 
 /**
- * How long work takes at engines of one service, relative to what is usual there: the median of the
- * engines whose streams this process has seen.
+ * Relative pace of the engines of one service: how long work takes at each engine compared with the
+ * median of the engines whose streams this process has seen.
  *
- * <p>An engine of which nothing is known is taken for a usual one, one of which little is known for
- * one in between. Where no engine tells its pace all count as equal.
+ * <p>An engine without samples counts as a median one, and one with few samples lies in between. If
+ * no engine reports its pace, all count as equal.
  */
 public final class ServicePace {
-  /** All engines are taken for equal. */
+  /** Treats all engines as equal. */
   public static final ServicePace EQUAL = new ServicePace(0, 0);
 
-  /** An engine that takes so many times as long as usual is a slow one. */
+  /** Relative pace from which an engine counts as slow. */
   private static final double SLOW_THRESHOLD = 1.5;
 
-  /** How many streams the assumption weighs that an engine is a usual one. */
+  /** Weight, in streams, of the prior assumption that an engine has the median pace. */
   private static final double PRIOR_STREAMS = 0.5;
 
   private static final double MIN_RELATIVE_PACE = 0.3;
@@ -30,27 +30,27 @@
     this.nowMs = nowMs;
   }
 
-  /** The pace of a service with these engines. */
+  /** Computes the pace of a service from its engines. */
   public static ServicePace of(Collection<EngineState> engines, long nowMs) {
     if (engines.stream().noneMatch(engine -> engine.pace().isReported())) {
       return EQUAL;
     }
-    double[] known =
+    double[] sorted =
         engines.stream()
             .map(EngineState::pace)
             .filter(EnginePace::hasSamples)
             .mapToDouble(EnginePace::msPerEvent)
             .sorted()
             .toArray();
-    return known.length == 0 ? EQUAL : new ServicePace(known[(known.length - 1) / 2], nowMs);
+    return sorted.length == 0 ? EQUAL : new ServicePace(sorted[(sorted.length - 1) / 2], nowMs);
   }
 
-  /** Whether engines are told apart by their pace. */
+  /** Whether engines may differ in pace; false for {@link #EQUAL}. */
   public boolean isUneven() {
     return medianMsPerEvent > 0;
   }
 
-  /** How many times as long as usual work takes at an engine in the long run. */
+  /** Long-run duration of work at an engine as a multiple of the median. */
   public double relativePace(EngineState engine) {
     if (!isUneven()) {
       return 1;
@@ -58,16 +58,16 @@
     EnginePace pace = engine.pace();
     double weight = pace.weight(nowMs);
     double multiple = pace.msPerEvent() / medianMsPerEvent;
-    double likely = (multiple * weight + PRIOR_STREAMS) / (weight + PRIOR_STREAMS);
-    return Math.max(MIN_RELATIVE_PACE, Math.min(MAX_RELATIVE_PACE, likely));
+    double estimate = (multiple * weight + PRIOR_STREAMS) / (weight + PRIOR_STREAMS);
+    return Math.max(MIN_RELATIVE_PACE, Math.min(MAX_RELATIVE_PACE, estimate));
   }
 
-  /** How many times as long as usual work takes at an engine at this moment. */
+  /** Relative pace adjusted by the latest report of the engine. */
   public double currentRelativePace(EngineState engine) {
     return isUneven() ? relativePace(engine) * engine.pace().currentFactor(nowMs) : 1;
   }
 
-  /** Whether an engine takes so much longer than usual that online requests avoid it. */
+  /** Whether online requests avoid the engine because of its pace. */
   public boolean isSlow(EngineState engine) {
     return relativePace(engine) >= SLOW_THRESHOLD;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 
 /**
- * Splits a stream of server-sent events into whole events and checks their ids.
+ * Splits a stream of server-sent events into complete events and checks their ids.
  *
- * <p>Ids must follow each other without a gap or repeat. The bytes of whole events are handed on
- * unchanged; a part of an event is held until the rest arrives.
+ * <p>Ids must be consecutive. Complete events are returned byte for byte; a partial event is
+ * buffered until the rest arrives.
  */
 public final class SseEventScanner {
   private static final int MAX_EVENT_LENGTH = 1 << 20;
@@ -21,13 +21,15 @@
   private boolean hasLastId;
   private String problem;
 
-  /** Starts after event {@code resumeAfter}; -1 when the first id is not known. */
+  /**
+   * Creates a scanner that resumes after event {@code resumeAfter}; -1 if the first id is unknown.
+   */
   public SseEventScanner(long resumeAfter) {
     this.lastId = resumeAfter;
     this.hasLastId = resumeAfter >= 0;
   }
 
-  /** Takes bytes and returns the whole events that they complete. */
+  /** Adds bytes and returns the events that they complete. */
   public byte[] feed(byte[] bytes) {
     append(bytes);
     int start = 0;
@@ -45,13 +47,13 @@
       }
       lineStart = i + 1;
     }
-    byte[] whole = Arrays.copyOf(buffer, start);
+    byte[] complete = Arrays.copyOf(buffer, start);
     System.arraycopy(buffer, start, buffer, 0, bufferedBytes - start);
     bufferedBytes -= start;
     if (bufferedBytes > MAX_EVENT_LENGTH) {
       problem = "an event is too long";
     }
-    return whole;
+    return complete;
   }
 
   private void append(byte[] bytes) {
@@ -99,22 +101,22 @@
     return new String(buffer, from, to - from, StandardCharsets.UTF_8).trim();
   }
 
-  /** The id of the last whole event; -1 before the first one. */
+  /** Id of the last complete event; -1 before the first one. */
   public long lastId() {
     return hasLastId ? lastId : -1;
   }
 
-  /** Why the stream cannot be trusted any more, or null. */
+  /** Why the stream is invalid; null while it is valid. */
   public String problem() {
     return problem;
   }
 
-  /** Whether a part of an event is held. */
+  /** Whether a partial event is buffered. */
   public boolean hasPartialEvent() {
     return bufferedBytes > 0;
   }
 
-  /** The values of the data fields in {@code events}, one line each, as text. */
+  /** Joins the values of all data fields in {@code events} with line feeds. */
   public static String dataOf(byte[] events) {
     ByteArrayOutputStream data = new ByteArrayOutputStream();
     int lineStart = 0;
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
@@ -1,9 +1,8 @@
 package io.pathdeck.fleet.engine;
 
 /**
- * When the events of one stream came, as far as its engine's pace shows in it: the time to the
- * first event is left out, because it is spent waiting and reading the prompt. Confined to one
- * thread.
+ * Times of the events of one stream, as a measure of the engine's pace. The time to the first event
+ * is left out, because it includes queueing and prefill. Confined to one thread.
  */
 public final class StreamTiming {
   private long firstEvent = -1;
@@ -11,7 +10,7 @@
   private long lastEvent = -1;
   private long lastMs;
 
-  /** The stream has come to {@code event}. */
+  /** Records that the stream has reached {@code event}. */
   public void onEvent(long event, long nowMs) {
     if (firstEvent < 0) {
       firstEvent = event;
@@ -21,12 +20,12 @@
     lastMs = nowMs;
   }
 
-  /** The events that came after the first ones. */
+  /** Number of events after the first recorded one. */
   public long eventsAfterFirst() {
     return lastEvent - firstEvent;
   }
 
-  /** The time over which {@link #eventsAfterFirst} came. */
+  /** Time from the first recorded event to the last one. */
   public long spanMs() {
     return lastMs - firstMs;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/TrafficSplit.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/TrafficSplit.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /**
- * Shares a route's requests among its services by weight: each target gains credit in proportion to
- * its weight, and the one with the most credit is taken.
+ * Splits the requests of a route among its services by smooth weighted round-robin: each target
+ * gains credit in proportion to its weight, and the one with the most credit is chosen.
  */
 public final class TrafficSplit {
   private final Map<String, double[]> credits = new HashMap<>();
 
-  /** The service that takes the next request of the route. */
+  /** Returns the service for the next request of the route. */
   public String next(RouteSpec route) {
     List<RouteTarget> targets = route.targets();
     if (targets.size() == 1) {
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
@@ -14,36 +14,36 @@
 import java.util.function.Predicate;
 
 /**
- * Under which requests engines have ended, and which of these requests end them. Pure: time is
- * told.
+ * Finds the requests that crash engines, given the requests in progress at each crash. Callers pass
+ * the time.
  *
- * <p>Many requests are under way when an engine ends, and one of them at most is the cause. A
- * request is held to be the cause when {@value #SUFFICIENT_CRASHES} lives of engines ended under it
- * that no other cause explains. The request under which most have ended is found first, and the
- * ends under it then count against no other: so requests that were beside it again and again stay
- * clear, and one that was held to be a cause by mistake is none any more when more is known. An end
- * counts half for a request that the engine had begun to answer, since a request that ends engines
- * when they begin to run it gets no answer. A request that was served to its end is cleared.
+ * <p>At most one of the requests in progress at a crash is its cause. A request counts as a cause
+ * when {@value #SUFFICIENT_CRASHES} engine instances crashed under it without being explained by
+ * another cause. The request with the most crashes is found first, and its crashes then count
+ * against no other request: so a request that repeatedly ran beside a cause stays clear, and one
+ * blamed by mistake is cleared when more is known. A crash counts half for a request whose response
+ * had begun, since a request that crashes engines when they begin to run it gets no response. A
+ * request that completes is cleared.
  */
 public final class CrashCauseDetector {
-  /** Engines of a fleet end one by one for other reasons too; three under one request seldom do. */
+  /** Engines also crash one by one for other reasons, but seldom three times under one request. */
   static final int SUFFICIENT_CRASHES = 3;
 
   private static final double ANSWER_BEGAN_WEIGHT = 0.5;
 
-  /** Longer than callers repeat a request after an engine that was away has come back. */
+  /** Longer than callers retry a request after an engine has come back. */
   private static final long WINDOW_MS = 60_000;
 
-  /** About 300 bytes each; the oldest give way when many engines end under many requests. */
+  /** About 300 bytes each; the oldest are evicted when many engines crash under many requests. */
   private static final int MAX_REQUESTS = 2_048;
 
-  /** One end, as it counts against a request. */
+  /** A crash as it counts against one request. */
   private record Evidence(double weight, long atMs) {}
 
   private final Map<RequestFingerprint, Map<String, Evidence>> crashesByRequest =
       new LinkedHashMap<>();
 
-  /** Notes an end; the same one may be told again. */
+  /** Adds a crash; a repeated report of it is ignored. */
   public void add(EngineEnd end, long nowMs) {
     double weight = end.answerBegan() ? ANSWER_BEGAN_WEIGHT : 1;
     crashesByRequest
@@ -56,32 +56,34 @@
     }
   }
 
-  /** A request was served to its end. */
+  /** Removes a request that completed. */
   public void clear(RequestFingerprint request) {
     crashesByRequest.remove(request);
   }
 
-  /** Forgets everything. */
+  /** Removes all requests. */
   public void clear() {
     crashesByRequest.clear();
   }
 
-  /** Forgets what is too old to count. */
+  /** Removes crashes that are older than the window. */
   public void expire(long nowMs) {
-    crashesByRequest.values().forEach(ends -> ends.values().removeIf(end -> isOld(end, nowMs)));
+    crashesByRequest
+        .values()
+        .forEach(crashes -> crashes.values().removeIf(crash -> isOld(crash, nowMs)));
     crashesByRequest.values().removeIf(Map::isEmpty);
   }
 
-  private static boolean isOld(Evidence end, long nowMs) {
-    return nowMs - end.atMs() > WINDOW_MS;
+  private static boolean isOld(Evidence crash, long nowMs) {
+    return nowMs - crash.atMs() > WINDOW_MS;
   }
 
-  /** Whether an engine has ended under a request of this outline of late. */
+  /** Whether an engine recently crashed under any request with this outline. */
   boolean mayContain(int outline) {
     return crashesByRequest.keySet().stream().anyMatch(request -> request.outline() == outline);
   }
 
-  /** Whether an engine has ended under this request of late. */
+  /** Whether an engine recently crashed under this request. */
   boolean contains(RequestFingerprint request) {
     return crashesByRequest.containsKey(request);
   }
@@ -91,9 +93,9 @@
   }
 
   /**
-   * Whether the ends that are known under a request weigh enough to make it a cause if nothing else
-   * explained them. Where they weigh less, as after some have grown old, nothing tells that another
-   * request explains them.
+   * Whether the known crashes under a request would make it a cause if nothing else explained them.
+   * If they would not, for example after some have expired, its absence from {@link #causes} does
+   * not mean that another request explains them.
    */
   public boolean hasSufficientEvidence(RequestFingerprint request) {
     boolean known = crashesByRequest.containsKey(request);
@@ -101,53 +103,55 @@
   }
 
   /**
-   * The requests that end engines, by all that is known now. A request that was a cause before may
-   * be none any more, once the true cause has become plain.
+   * Finds the requests that crash engines, by all that is known now. A request that was a cause
+   * before may be missing once the real cause is known.
    *
-   * @param isHeld whether a request was a cause before; among equals it stays one
+   * @param isQuarantined whether a request was a cause before; it wins a tie
    */
-  public List<RequestFingerprint> causes(Predicate<RequestFingerprint> isHeld) {
+  public List<RequestFingerprint> causes(Predicate<RequestFingerprint> isQuarantined) {
     List<RequestFingerprint> candidates = new ArrayList<>();
     crashesByRequest.forEach(
-        (request, ends) -> {
-          if (ends.size() >= SUFFICIENT_CRASHES) {
+        (request, crashes) -> {
+          if (crashes.size() >= SUFFICIENT_CRASHES) {
             candidates.add(request);
           }
         });
     Set<String> explained = new HashSet<>();
     List<RequestFingerprint> causes = new ArrayList<>();
-    Optional<RequestFingerprint> leading = strongestCandidate(candidates, explained, isHeld);
-    while (leading.isPresent()) {
-      causes.add(leading.get());
-      explained.addAll(crashesByRequest.get(leading.get()).keySet());
-      leading = strongestCandidate(candidates, explained, isHeld);
+    Optional<RequestFingerprint> strongest =
+        strongestCandidate(candidates, explained, isQuarantined);
+    while (strongest.isPresent()) {
+      causes.add(strongest.get());
+      explained.addAll(crashesByRequest.get(strongest.get()).keySet());
+      strongest = strongestCandidate(candidates, explained, isQuarantined);
     }
     return causes;
   }
 
-  /** The request under which most engines ended that nothing explains; empty when too few did. */
+  /** The request with the most unexplained crashes; empty if none has enough of them. */
   private Optional<RequestFingerprint> strongestCandidate(
       List<RequestFingerprint> candidates,
       Set<String> explained,
-      Predicate<RequestFingerprint> isHeld) {
-    RequestFingerprint leading = null;
-    double most = 0;
+      Predicate<RequestFingerprint> isQuarantined) {
+    RequestFingerprint strongest = null;
+    double maxWeight = 0;
     for (RequestFingerprint candidate : candidates) {
       double weight = unexplainedWeight(candidate, explained);
-      boolean leads = weight > most || (weight == most && isHeld.test(candidate));
-      if (weight >= SUFFICIENT_CRASHES && leads) {
-        leading = candidate;
-        most = weight;
+      boolean isStronger =
+          weight > maxWeight || (weight == maxWeight && isQuarantined.test(candidate));
+      if (weight >= SUFFICIENT_CRASHES && isStronger) {
+        strongest = candidate;
+        maxWeight = weight;
       }
     }
-    return Optional.ofNullable(leading);
+    return Optional.ofNullable(strongest);
   }
 
   private double unexplainedWeight(RequestFingerprint request, Set<String> explained) {
     double weight = 0;
-    for (Map.Entry<String, Evidence> end : crashesByRequest.get(request).entrySet()) {
-      if (!explained.contains(end.getKey())) {
-        weight += end.getValue().weight();
+    for (Map.Entry<String, Evidence> crash : crashesByRequest.get(request).entrySet()) {
+      if (!explained.contains(crash.getKey())) {
+        weight += crash.getValue().weight();
       }
     }
     return weight;
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
@@ -18,20 +18,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells the leading coordinator under which requests engines ended; confined to the event loop.
+ * Reports to the leading coordinator which requests were in progress when engines crashed; confined
+ * to the event loop.
  *
- * <p>A notice is sent until a leader has taken it. What leaders collect is not replicated, so a new
- * leader is told all of the last while again.
+ * <p>A notice is sent until a leader accepts it. Leaders do not replicate what they collect, so a
+ * new leader is sent all recent crashes again.
  */
 public final class EngineCrashReporter {
-  /** Gathers the requests that one end cuts: they are noticed within a millisecond or two. */
+  /**
+   * Batches the requests that one crash interrupts: they are noticed within a millisecond or two.
+   */
   private static final long BATCH_DELAY_MS = 10;
 
   private static final long RETRY_PAUSE_MS = 200;
   private static final long CALL_TIMEOUT_MS = 900;
   private static final long ATTEMPT_TIMEOUT_MS = 300;
 
-  /** The newest ends, which a new leader is told again; about 200 bytes each. */
+  /** Bounds the crashes that are sent again to a new leader; about 200 bytes each. */
   private static final int MAX_RECENT_CRASHES = 512;
 
   private final EventLoop eventLoop;
@@ -45,7 +48,7 @@
   /**
    * Creates a reporter.
    *
-   * @param onAccepted runs when a leader has taken a notice, to ask for what follows from it
+   * @param onAccepted runs when a leader has accepted a notice, to fetch what follows from it
    */
   public EngineCrashReporter(EventLoop eventLoop, GroupClient coordinators, Runnable onAccepted) {
     this.eventLoop = eventLoop;
@@ -53,9 +56,9 @@
     this.onAccepted = onAccepted;
   }
 
-  void reportCrashes(List<EngineEnd> ends) {
-    unreportedCrashes.addAll(ends);
-    recentCrashes.addAll(ends);
+  void reportCrashes(List<EngineEnd> crashes) {
+    unreportedCrashes.addAll(crashes);
+    recentCrashes.addAll(crashes);
     while (recentCrashes.size() > MAX_RECENT_CRASHES) {
       unreportedCrashes.remove(recentCrashes.removeFirst());
     }
@@ -63,13 +66,13 @@
   }
 
   void reportServed(RequestFingerprint request) {
-    recentCrashes.removeIf(end -> end.request().equals(request));
-    unreportedCrashes.removeIf(end -> end.request().equals(request));
+    recentCrashes.removeIf(crash -> crash.request().equals(request));
+    unreportedCrashes.removeIf(crash -> crash.request().equals(request));
     served.add(request);
     sendAfter(BATCH_DELAY_MS);
   }
 
-  /** Another coordinator leads, which knows nothing of earlier ends. */
+  /** Another coordinator leads, which knows nothing of earlier crashes. */
   public void onNewLeader() {
     unreportedCrashes.addAll(recentCrashes);
     if (!unreportedCrashes.isEmpty()) {
@@ -77,10 +80,10 @@
     }
   }
 
-  private void sendAfter(long pauseMs) {
+  private void sendAfter(long delayMs) {
     if (!sending) {
       sending = true;
-      eventLoop.schedule(this::send, pauseMs, TimeUnit.MILLISECONDS);
+      eventLoop.schedule(this::send, delayMs, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -94,14 +97,14 @@
 
   private void onAnswer(EngineEndNotice notice, Result<Message, GroupCallError> result) {
     sending = false;
-    boolean taken = result.isOk() && result.value() instanceof EngineEndNoted;
-    if (taken) {
+    boolean accepted = result.isOk() && result.value() instanceof EngineEndNoted;
+    if (accepted) {
       unreportedCrashes.removeAll(new ArrayList<>(notice.ends()));
       served.removeAll(new ArrayList<>(notice.served()));
       onAccepted.run();
     }
     if (!unreportedCrashes.isEmpty() || !served.isEmpty()) {
-      sendAfter(taken ? BATCH_DELAY_MS : RETRY_PAUSE_MS);
+      sendAfter(accepted ? BATCH_DELAY_MS : RETRY_PAUSE_MS);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
@@ -22,12 +22,11 @@
 import java.util.function.Consumer;
 
 /**
- * The one way to engines for all requests and items of a process. Confined to the event loop.
+ * Transport for all requests and batch items of a process; confined to the event loop.
  *
- * <p>It finds out under which of them an engine has ended, and sends none on that is known to end
- * engines: whether a call is a first try, a retry, a resumption or an item, it passes here, so no
- * caller of this class has to ask. Without it one request ended engines 34 times in a fleet of 18,
- * since each try has another id and nothing that one try showed was known to the next.
+ * <p>It detects under which requests engines crash, and does not send requests that are known to
+ * crash engines. First attempts, retries, resumptions and items all pass here, so callers need not
+ * check. Requests are recognized by their content, since each attempt has another id.
  */
 public final class QuarantiningTransport implements EngineTransport {
   private static final EventLog EVENTS = EventLog.of(QuarantiningTransport.class);
@@ -43,10 +42,10 @@
   private final Map<String, List<InterruptedRequest>> interruptedByInstance = new HashMap<>();
 
   /**
-   * Watches the calls over {@code transport}.
+   * Creates a transport that sends calls over {@code transport}.
    *
    * @param eventLoop the thread of all calls
-   * @param onEngineDown hears of each engine that has ended, as often as that is noticed
+   * @param onEngineDown called for each engine that is down, whenever that is noticed
    */
   public QuarantiningTransport(
       EngineTransport transport,
@@ -65,9 +64,9 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Follows the requests that the fleet holds back. */
-  public void updateQuarantine(QuarantineList told) {
-    quarantine.update(told);
+  /** Applies the list of requests that the fleet has quarantined. */
+  public void updateQuarantine(QuarantineList list) {
+    quarantine.update(list);
   }
 
   @Override
@@ -82,9 +81,9 @@
 
   private void onInterrupted(InterruptedRequest request) {
     EngineInstance engine = request.call().engine();
-    List<InterruptedRequest> cut = interruptedByInstance.get(engine.lifeId());
-    if (cut != null) {
-      cut.add(request);
+    List<InterruptedRequest> interrupted = interruptedByInstance.get(engine.lifeId());
+    if (interrupted != null) {
+      interrupted.add(request);
       return;
     }
     interruptedByInstance.put(engine.lifeId(), new ArrayList<>(List.of(request)));
@@ -92,7 +91,7 @@
   }
 
   private void onVerdict(EngineInstance engine, Verdict verdict) {
-    List<InterruptedRequest> cut = interruptedByInstance.remove(engine.lifeId());
+    List<InterruptedRequest> interrupted = interruptedByInstance.remove(engine.lifeId());
     EVENTS.log(
         EventCode.ENGINE_CHECKED,
         "engine",
@@ -100,42 +99,42 @@
         "verdict",
         verdict,
         "requests",
-        cut.size());
+        interrupted.size());
     if (verdict == Verdict.ENDED) {
       onEngineDown.accept(engine);
-      recordCrashes(engine, cut);
+      recordCrashes(engine, interrupted);
     }
   }
 
-  private void recordCrashes(EngineInstance engine, List<InterruptedRequest> cut) {
+  private void recordCrashes(EngineInstance engine, List<InterruptedRequest> interrupted) {
     long nowMs = nowMs();
-    List<EngineEnd> ends = new ArrayList<>();
-    for (InterruptedRequest request : cut) {
+    List<EngineEnd> crashes = new ArrayList<>();
+    for (InterruptedRequest request : interrupted) {
       RequestFingerprint fingerprint = RequestFingerprints.fingerprint(request.call());
-      EngineEnd end = new EngineEnd(engine.lifeId(), fingerprint, request.answerBegan());
-      logCrash(request.call().requestId(), end);
-      localDetector.add(end, nowMs);
-      ends.add(end);
+      EngineEnd crash = new EngineEnd(engine.lifeId(), fingerprint, request.answerBegan());
+      logCrash(request.call().requestId(), crash);
+      localDetector.add(crash, nowMs);
+      crashes.add(crash);
     }
     localDetector.expire(nowMs);
     quarantine.addLocal(localDetector.causes(quarantine::isConfirmed), nowMs);
-    reporter.reportCrashes(ends);
+    reporter.reportCrashes(crashes);
   }
 
-  private static void logCrash(String requestId, EngineEnd end) {
+  private static void logCrash(String requestId, EngineEnd crash) {
     EVENTS.log(
         EventCode.ENGINE_ENDED_UNDER_REQUEST,
         "request",
         requestId,
         "fingerprint",
-        end.request().shortForm(),
+        crash.request().shortForm(),
         "engine",
-        end.engine(),
+        crash.engine(),
         "answer_began",
-        end.answerBegan());
+        crash.answerBegan());
   }
 
-  /** A request that was served to its end does not end engines. */
+  /** A request that completes does not crash engines. */
   private void onServed(EngineCall call) {
     if (localDetector.isEmpty() || !localDetector.mayContain(RequestFingerprints.outline(call))) {
       return;
@@ -147,7 +146,7 @@
     }
   }
 
-  /** Passes on what becomes of a call, and notes when it was cut. */
+  /** Passes on the events of a call, and handles the loss of its connection. */
   private final class WatchedCall implements EngineListener {
     private static final int SUCCESS_FROM = 200;
     private static final int SUCCESS_TO = 300;
@@ -162,9 +161,9 @@
     }
 
     @Override
-    public void onHead(EngineResponse answer) {
-      status = answer.status();
-      caller.onHead(answer);
+    public void onHead(EngineResponse response) {
+      status = response.status();
+      caller.onHead(response);
     }
 
     @Override
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestFingerprints.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestFingerprints.java
@@ -11,8 +11,8 @@
 import net.openhft.hashing.LongTupleHashFunction;
 
 /**
- * Computes what names a request over all its tries. Headers do not belong to it: ids, deadlines and
- * the last event that a caller holds differ from try to try.
+ * Computes fingerprints that are the same for all attempts of a request. Headers are left out: ids,
+ * deadlines and the last received event differ between attempts.
  */
 public final class RequestFingerprints {
   private static final String ALGORITHM = "SHA-256";
@@ -21,7 +21,7 @@
 
   private RequestFingerprints() {}
 
-  /** The cheap part of the fingerprint: some tens of nanoseconds, whatever the body's length. */
+  /** The cheap part of the fingerprint, which does not read the body. */
   public static int outline(EngineCall call) {
     int hash = call.method().hashCode();
     hash = HASH_MULTIPLIER * hash + call.uri().hashCode();
@@ -31,10 +31,9 @@
   /**
    * The fingerprint of the request that {@code call} carries.
    *
-   * <p>The body counts by a fast hash, since SHA-256 over 4 MB kept the event loop busy for 54 to
-   * 89 ms; now 3.4 ms, and 6.5 us for 1.2 KB instead of 28 us (first compiler only). Only the body
-   * of a caller's own request can be made to look like another one: tenant and path stand in the
-   * digest themselves.
+   * <p>The body enters as a fast hash, since SHA-256 over a body of some megabytes would block the
+   * event loop for tens of milliseconds. That hash can be forged, but only to match another body:
+   * tenant and path enter the digest directly.
    */
   public static RequestFingerprint fingerprint(EngineCall call) {
     MessageDigest digest = newDigest();
@@ -60,7 +59,7 @@
     return call.tenant() instanceof EngineTenant.Named named ? named.name() : "";
   }
 
-  /** Each part with its length before it, so that no two lists of parts give the same bytes. */
+  /** Adds a part after its length, so that different lists of parts never give the same bytes. */
   private static void add(MessageDigest digest, byte[] part) {
     digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, part.length));
     digest.update(part);
@@ -70,7 +69,7 @@
     try {
       return MessageDigest.getInstance(ALGORITHM);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("missing required digest algorithm " + ALGORITHM, e);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
@@ -8,11 +8,10 @@
 import java.util.Set;
 
 /**
- * The requests in quarantine as this process knows them; confined to the event loop.
+ * The quarantined requests known to this process; confined to the event loop.
  *
- * <p>The leading coordinator decides, since it hears of the ends that all processes noticed. What
- * this process has found by itself counts only until the leader's word can be expected, and for
- * longer while the process goes on finding it.
+ * <p>The leading coordinator decides, since all processes report crashes to it. A request that only
+ * this process has found is quarantined until the leader's decision can be expected.
  */
 final class RequestQuarantine {
   /** Several elections of 0.6 to 1.2 s. */
@@ -24,7 +23,7 @@
   private long version = QuarantineList.NONE.version();
   private long localUntilMs;
 
-  /** Follows the list that the leading coordinator tells. */
+  /** Applies the list of the leading coordinator. */
   void update(QuarantineList list) {
     if (list.version() == version) {
       return;
@@ -36,7 +35,7 @@
     rebuildOutlines();
   }
 
-  /** Adds what this process has found by itself. */
+  /** Adds requests that this process has found. */
   void addLocal(Collection<RequestFingerprint> found, long nowMs) {
     if (local.addAll(found)) {
       localUntilMs = nowMs + LOCAL_VALID_MS;
@@ -54,7 +53,7 @@
     return confirmed.contains(request);
   }
 
-  /** Whether a call's request is in quarantine; the body is read only where the outline fits. */
+  /** Whether a call's request is quarantined; reads the body only if the outline matches. */
   boolean isQuarantined(EngineCall call, long nowMs) {
     if (!outlines.contains(RequestFingerprints.outline(call))) {
       return false;
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/package-info.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Finds requests under which engines end, and keeps them from reaching more. */
+/** Detects requests that crash engines and keeps them from reaching other engines. */
 package io.pathdeck.fleet.quarantine;
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
@@ -14,8 +14,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A model of streams on engines of which some take longer, chosen by gateways that each know only
- * what their own calls tell; time in milliseconds.
+ * Simulates streams on fast and slow engines, chosen by gateways that each know only what their own
+ * calls report; times are in milliseconds.
  */
 final class HeterogeneousEnginesSimulation {
   private static final int GATEWAYS = 25;
@@ -36,7 +36,7 @@
   private static final Prompt PROMPT = new Prompt(450, "shared", 200);
   private static final List<String> ZONES = List.of("a", "b", "c");
 
-  /** How the day went. */
+  /** Request counts of a run. */
   record Result(int served, int late, int servedBySlow, int lateAtSlow) {
     double lateShare() {
       return late / (double) served;
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
@@ -34,8 +34,8 @@
     return place(choice, prompt).engine();
   }
 
-  private Placement place(EngineLoadBalancer by, Prompt prompt) {
-    return by.choose(table.usable("s", Set.of(), NOW_MS), prompt, NOW_MS).orElseThrow();
+  private Placement place(EngineLoadBalancer balancer, Prompt prompt) {
+    return balancer.choose(table.usable("s", Set.of(), NOW_MS), prompt, NOW_MS).orElseThrow();
   }
 
   private static Prompt longPrompt(String prefix) {
@@ -64,54 +64,54 @@
 
   @Test
   void sharedPrefixHasOneOwnerInAllZones() {
-    EngineLoadBalancer ofOtherZone = new EngineLoadBalancer("b", 2);
+    EngineLoadBalancer otherZone = new EngineLoadBalancer("b", 2);
     for (String prefix : List.of("x", "y", "z")) {
-      Set<String> homes = new HashSet<>();
+      Set<String> owners = new HashSet<>();
       for (int i = 0; i < 10; i++) {
-        homes.add(choose(longPrompt(prefix)).instance().id());
-        homes.add(place(ofOtherZone, longPrompt(prefix)).engine().instance().id());
+        owners.add(choose(longPrompt(prefix)).instance().id());
+        owners.add(place(otherZone, longPrompt(prefix)).engine().instance().id());
       }
-      assertThat(homes).as(prefix).hasSize(1);
+      assertThat(owners).as(prefix).hasSize(1);
     }
   }
 
   @Test
   void spreadsPrefixesOverEngines() {
-    Set<String> homes = new HashSet<>();
+    Set<String> owners = new HashSet<>();
     for (int i = 0; i < 60; i++) {
-      homes.add(choose(longPrompt("prefix-" + i)).instance().id());
+      owners.add(choose(longPrompt("prefix-" + i)).instance().id());
     }
-    assertThat(homes).hasSize(6);
+    assertThat(owners).hasSize(6);
   }
 
   @Test
   void countsPrefixAsCachedOnlyAtOwner() {
-    Placement atHome = place(choice, longPrompt("x"));
-    assertThat(atHome.prefillTokens()).isEqualTo(9_000 - 6_300);
+    Placement atOwner = place(choice, longPrompt("x"));
+    assertThat(atOwner.prefillTokens()).isEqualTo(9_000 - 6_300);
     for (int i = 0; i < 10; i++) {
-      atHome.engine().onStart(NOW_MS);
+      atOwner.engine().onStart(NOW_MS);
     }
     Placement elsewhere = place(choice, longPrompt("x"));
-    assertThat(elsewhere.engine()).isNotEqualTo(atHome.engine());
+    assertThat(elsewhere.engine()).isNotEqualTo(atOwner.engine());
     assertThat(elsewhere.prefillTokens()).isEqualTo(9_000);
   }
 
   @Test
   void ownerChangesOnlyWhenRemoved() {
-    EngineState home = choose(longPrompt("x"));
-    Map<String, EngineInstance> rest = new HashMap<>();
-    table.all().forEach(engine -> rest.put(engine.instance().id(), engine.instance()));
+    EngineState owner = choose(longPrompt("x"));
+    Map<String, EngineInstance> listed = new HashMap<>();
+    table.all().forEach(engine -> listed.put(engine.instance().id(), engine.instance()));
     String other =
-        rest.keySet().stream()
-            .filter(id -> !id.equals(home.instance().id()))
+        listed.keySet().stream()
+            .filter(id -> !id.equals(owner.instance().id()))
             .findFirst()
             .orElseThrow();
-    rest.remove(other);
-    table.update(rest);
-    assertThat(choose(longPrompt("x"))).isEqualTo(home);
-    rest.remove(home.instance().id());
-    table.update(rest);
-    assertThat(choose(longPrompt("x"))).isNotEqualTo(home);
+    listed.remove(other);
+    table.update(listed);
+    assertThat(choose(longPrompt("x"))).isEqualTo(owner);
+    listed.remove(owner.instance().id());
+    table.update(listed);
+    assertThat(choose(longPrompt("x"))).isNotEqualTo(owner);
   }
 
   @Test
@@ -184,13 +184,15 @@
     reportPace("a0", 27);
     reportPace("a1", 27);
     reportPace("a2", 75);
-    assertThat(chosenIds()).as("all are empty").containsExactlyInAnyOrder("a0", "a1");
+    assertThat(chosenIds()).as("all engines are idle").containsExactlyInAnyOrder("a0", "a1");
     start("a0", 2);
     start("a1", 2);
-    assertThat(chosenIds()).as("its one place takes as long as three").doesNotContain("a2");
+    assertThat(chosenIds())
+        .as("one request there takes as long as three elsewhere")
+        .doesNotContain("a2");
     start("a0", 4);
     start("a1", 4);
-    assertThat(chosenIds()).as("the others fill up").containsExactly("a2");
+    assertThat(chosenIds()).as("the fast engines are busy").containsExactly("a2");
   }
 
   @Test
@@ -202,7 +204,6 @@
     assertThat(chosenIds()).containsExactly("a2");
   }
 
-  /** The formula of services whose engines do not tell their pace is the one without pace. */
   @Test
   void ignoresPaceUnlessReported() {
     showPace("a0", 27);
@@ -214,7 +215,9 @@
     assertThat(chosenIds()).containsExactly("a2");
   }
 
-  /** 62 engines, 22 of them 2.8 times slower, 25 gateways, crests near what all engines can do. */
+  /**
+   * 62 engines, 22 of them 2.8 times slower, and 25 gateways; peaks come near the total capacity.
+   */
   @Test
   void fewLateRequestsAtPeaks() {
     HeterogeneousEnginesSimulation.Result without =
@@ -222,7 +225,7 @@
     HeterogeneousEnginesSimulation.Result with = new HeterogeneousEnginesSimulation(1, true).run();
     assertThat(without.lateShare()).isGreaterThan(0.04);
     assertThat(with.lateShare()).isLessThan(0.02);
-    assertThat(with.servedBySlow()).as("slow ones are used").isGreaterThan(with.served() / 20);
+    assertThat(with.servedBySlow()).as("slow engines are used").isGreaterThan(with.served() / 20);
     assertThat(with.lateAtSlow()).isLessThan(without.lateAtSlow() / 4);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEnginePace.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEnginePace.java
@@ -15,8 +15,8 @@
 
   private final EnginePace pace = new EnginePace();
 
-  private static void addStream(EnginePace of, int eventMs) {
-    of.onStream(EVENTS, (long) EVENTS * eventMs, NOW_MS);
+  private static void addStream(EnginePace target, int eventMs) {
+    target.onStream(EVENTS, (long) EVENTS * eventMs, NOW_MS);
   }
 
   @Test
@@ -52,7 +52,7 @@
     for (int i = 0; i < 20; i++) {
       pace.onReported(270, NOW_MS);
     }
-    assertThat(pace.currentFactor(NOW_MS)).as("its usual figure").isCloseTo(1, within(0.01));
+    assertThat(pace.currentFactor(NOW_MS)).as("equal to its average").isCloseTo(1, within(0.01));
     pace.onReported(400, NOW_MS);
     assertThat(pace.currentFactor(NOW_MS)).isGreaterThan(1.3);
     assertThat(pace.currentFactor(NOW_MS + 500)).isCloseTo(1, within(0.02));
@@ -95,7 +95,7 @@
     assertThat(table.find("e1").pace().hasSamples()).isFalse();
   }
 
-  /** Four engines of which two streams were seen each, and a fifth one that is new. */
+  /** Four engines with two sampled streams each, and a fifth without samples. */
   private static EngineTable heterogeneousTable() {
     Map<String, EngineInstance> listed = new HashMap<>();
     for (int i = 0; i < 5; i++) {
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineRestart.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineRestart.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** An engine that ends, and starts again under the id and address that it had. */
+/** An engine that goes down and restarts under the same id and address. */
 class TestEngineRestart {
   private static final long NOW_MS = 10_000;
   private static final long BORN_MS = 1_700_000_000_000L;
@@ -32,20 +32,20 @@
     list(instance(BORN_MS));
     table.onDown(instance(BORN_MS), NOW_MS);
     assertThat(isOffered(NOW_MS + 999)).isFalse();
-    assertThat(isOffered(NOW_MS + 1_000)).as("the list may not show its return yet").isTrue();
+    assertThat(isOffered(NOW_MS + 1_000)).as("the list may show the restart late").isTrue();
   }
 
   @Test
   void restartResetsState() {
     list(instance(BORN_MS));
-    EngineState before = table.find("e");
-    before.onStart(NOW_MS);
+    EngineState previous = table.find("e");
+    previous.onStart(NOW_MS);
     table.onDown(instance(BORN_MS), NOW_MS);
     list(instance(BORN_MS + 5_000));
-    assertThat(table.find("e")).isNotSameAs(before);
+    assertThat(table.find("e")).isNotSameAs(previous);
     assertThat(table.find("e").inFlight()).isZero();
     assertThat(isOffered(NOW_MS)).isTrue();
-    assertThat(before.isUsable(NOW_MS)).isFalse();
+    assertThat(previous.isUsable(NOW_MS)).isFalse();
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestPausedReading.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestPausedReading.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A call whose answer is not read for a while, on a connection that is used again. */
+/** A paused response must not leave reading disabled on a connection that is reused. */
 class TestPausedReading {
   private static final EngineInstance ENGINE = new EngineInstance("e", "s", "h:1", "z", 4, false);
 
@@ -35,7 +35,7 @@
       new EngineConnection(new NettyEngineTransport(eventLoop, protocol), protocol, ENGINE);
   private final EmbeddedChannel channel =
       new EmbeddedChannel(new HttpRequestEncoder(), new HttpResponseDecoder(), connection);
-  private int ended;
+  private int completions;
 
   private static final class FixedProtocol implements EngineProtocol {
     @Override
@@ -80,14 +80,14 @@
 
   private final class CountingListener implements EngineListener {
     @Override
-    public void onHead(EngineResponse answer) {}
+    public void onHead(EngineResponse response) {}
 
     @Override
     public void onBody(byte[] part) {}
 
     @Override
     public void onEnd() {
-      ended++;
+      completions++;
     }
 
     @Override
@@ -115,11 +115,11 @@
   void keptConnectionResumesReading() {
     PendingCall call = send();
     call.pauseReading();
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    channel.writeInbound(Unpooled.copiedBuffer(answer, StandardCharsets.US_ASCII));
-    assertThat(ended).isEqualTo(1);
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    channel.writeInbound(Unpooled.copiedBuffer(response, StandardCharsets.US_ASCII));
+    assertThat(completions).isEqualTo(1);
     assertThat(channel.config().isAutoRead()).isTrue();
     call.pauseReading();
-    assertThat(channel.config().isAutoRead()).as("the call is over").isTrue();
+    assertThat(channel.config().isAutoRead()).as("the call is complete").isTrue();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestSseEventScanner.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestSseEventScanner.java
@@ -19,13 +19,13 @@
   }
 
   @Property
-  void reassemblesEventsFromAnyChunks(@ForAll @IntRange(min = 1, max = 40) int cut) {
+  void reassemblesEventsFromAnyChunks(@ForAll @IntRange(min = 1, max = 40) int chunkSize) {
     String stream = event(1) + event(2) + event(3);
     SseEventScanner scanner = new SseEventScanner(-1);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] all = bytes(stream);
-    for (int from = 0; from < all.length; from += cut) {
-      int to = Math.min(all.length, from + cut);
+    for (int from = 0; from < all.length; from += chunkSize) {
+      int to = Math.min(all.length, from + chunkSize);
       out.writeBytes(scanner.feed(java.util.Arrays.copyOfRange(all, from, to)));
     }
     assertThat(out.toString(StandardCharsets.UTF_8)).isEqualTo(stream);
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
@@ -8,7 +8,7 @@
 
 class TestCrashCauseDetector {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
-  private static final RequestFingerprint INNOCENT = new RequestFingerprint(2, "beside");
+  private static final RequestFingerprint INNOCENT = new RequestFingerprint(2, "innocent");
   private static final long LATER_MS = 61_000;
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
@@ -43,19 +43,18 @@
   void concurrentRequestIsNoCause() {
     crashed(INNOCENT, "a", "b", "c");
     crashed(BAD, "a", "b", "c", "d");
-    assertThat(detector.causes(held -> false)).containsExactly(BAD);
+    assertThat(detector.causes(known -> false)).containsExactly(BAD);
   }
 
   /**
-   * Two requests end engines, and an innocent one was beside both before either had ended three.
-   * Evidence: in the soak a request was held back that two callers had sent, after engines 1 and 2
-   * had ended under the one cause and engine 0 under the other.
+   * Two requests crash engines, and an innocent one ran beside both before either had three
+   * crashes.
    */
   @Test
   void clearsInnocentOnceCausesAreFound() {
     crashed(INNOCENT, "a", "b", "c");
     crashed(BAD, "a", "b");
-    assertThat(detector.causes(held -> false)).containsExactly(INNOCENT);
+    assertThat(detector.causes(known -> false)).containsExactly(INNOCENT);
     crashed(BAD, "d", "e");
     assertThat(detector.causes(INNOCENT::equals)).containsExactly(BAD);
     assertThat(detector.hasSufficientEvidence(INNOCENT)).isTrue();
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
@@ -8,11 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Evidence that grows old must not clear a request that is held back.
+ * The expiry of some crashes must not release a quarantined request.
  *
- * <p>A request was held after six engines had ended while they answered it. Some of these ends grew
- * older than the window; those left were enough to judge it and too few to make it a cause, so the
- * coordinator released it with the next notice, though no other request explained the ends.
+ * <p>Guards against releasing a request whose remaining crashes are too few to make it a cause,
+ * although no other request explains them.
  */
 class TestEvidenceExpiry {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
@@ -29,10 +28,10 @@
   void expiredEvidenceDoesNotReleaseRequest() {
     crashedWhileResponding(0, List.of("a", "b", "c"));
     crashedWhileResponding(LATER_MS, List.of("d", "e", "f"));
-    assertThat(detector.causes(held -> false)).containsExactly(BAD);
+    assertThat(detector.causes(known -> false)).containsExactly(BAD);
     detector.expire(FIRST_CRASHES_EXPIRED_MS);
     boolean released =
         detector.hasSufficientEvidence(BAD) && !detector.causes(BAD::equals).contains(BAD);
-    assertThat(released).as("nothing else explains the ends").isFalse();
+    assertThat(released).as("no other request explains the crashes").isFalse();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestQuarantineFalsePositives.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestQuarantineFalsePositives.java
@@ -12,11 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A model of engines that end, under a request that ends them and for other reasons, with innocent
- * requests beside: how many of these are held to be a cause.
+ * Simulates engine crashes, caused by one request and by other reasons, to count the innocent
+ * requests that are quarantined by mistake.
  *
- * <p>Each request is on one engine at a time; when its engine ends it goes on at another, four
- * times at most (two tries of two engines). Half of them are being answered when their engine ends.
+ * <p>Each request runs on one engine at a time; when that engine crashes, the request moves to
+ * another one, up to four sends (two attempts at each of two engines). Half of the responses have
+ * begun when the engine crashes.
  */
 class TestQuarantineFalsePositives {
   private static final int RUNS = 200;
@@ -35,8 +36,8 @@
     }
   }
 
-  /** What became of one run of the model. */
-  private record Outcome(int ends, int innocents, int falsePositives, boolean badFound) {}
+  /** The result of one run. */
+  private record Outcome(int crashes, int innocents, int falsePositives, boolean badFound) {}
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
   private final List<List<InnocentRequest>> engines = new ArrayList<>();
@@ -66,15 +67,15 @@
     }
   }
 
-  /** Ends an engine; its requests go on elsewhere. */
+  /** Crashes an engine; its requests move to other engines. */
   private void crash(int engine, boolean underBad) {
-    String life = engine + "@" + ++crashes;
+    String instance = engine + "@" + ++crashes;
     if (underBad) {
-      detector.add(new EngineEnd(life, BAD, false), crashes);
+      detector.add(new EngineEnd(instance, BAD, false), crashes);
     }
-    List<InnocentRequest> cut = engines.set(engine, new ArrayList<>());
-    for (InnocentRequest request : cut) {
-      detector.add(new EngineEnd(life, request.fingerprint, random.nextBoolean()), crashes);
+    List<InnocentRequest> interrupted = engines.set(engine, new ArrayList<>());
+    for (InnocentRequest request : interrupted) {
+      detector.add(new EngineEnd(instance, request.fingerprint, random.nextBoolean()), crashes);
       if (++request.sends <= MAX_SENDS) {
         engines.get(random.nextInt(ENGINES)).add(request);
       }
@@ -87,7 +88,7 @@
     everQuarantined.addAll(causes);
   }
 
-  /** Some requests are served to their end between two ends of engines. */
+  /** Completes some requests between two crashes. */
   private void serveSome() {
     for (List<InnocentRequest> engine : engines) {
       engine.removeIf(
@@ -104,9 +105,9 @@
     }
   }
 
-  private Outcome run(long seed, int endsOfEngines, int badPercent) {
+  private Outcome run(long seed, int crashCount, int badPercent) {
     start(seed);
-    for (int count = 0; count < endsOfEngines; count++) {
+    for (int count = 0; count < crashCount; count++) {
       boolean underBad = !quarantined.contains(BAD) && random.nextInt(100) < badPercent;
       crash(random.nextInt(ENGINES), underBad);
       serveSome();
@@ -118,32 +119,33 @@
 
   @Test
   void fewFalsePositivesWithoutCause() {
-    long heldInnocents = 0;
+    long falsePositives = 0;
     long all = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Outcome outcome = run(seed, 60, 0);
-      heldInnocents += outcome.falsePositives();
+      falsePositives += outcome.falsePositives();
       all += outcome.innocents();
     }
-    System.out.printf("60 ends for other reasons: %d of %d innocents held%n", heldInnocents, all);
-    assertThat(heldInnocents * 1_000).as("less than one in a thousand").isLessThan(all);
+    System.out.printf(
+        "60 unrelated crashes: %d of %d innocent requests quarantined%n", falsePositives, all);
+    assertThat(falsePositives * 1_000).as("less than one in a thousand").isLessThan(all);
   }
 
   @Test
   void findsCauseAmongOtherCrashes() {
-    long heldInnocents = 0;
+    long falsePositives = 0;
     long all = 0;
     int found = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Outcome outcome = run(seed, 30, 50);
-      heldInnocents += outcome.falsePositives();
+      falsePositives += outcome.falsePositives();
       all += outcome.innocents();
       found += outcome.badFound() ? 1 : 0;
     }
     System.out.printf(
-        "30 ends, half under one request: found in %d of %d runs, %d of %d innocents held%n",
-        found, RUNS, heldInnocents, all);
+        "30 crashes, half from one request: found in %d of %d runs, %d of %d innocents quarantined%n",
+        found, RUNS, falsePositives, all);
     assertThat(found).isEqualTo(RUNS);
-    assertThat(heldInnocents * 1_000).as("less than one in a thousand").isLessThan(all);
+    assertThat(falsePositives * 1_000).as("less than one in a thousand").isLessThan(all);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestRequestFingerprints.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestRequestFingerprints.java
@@ -13,7 +13,7 @@
 
 class TestRequestFingerprints {
   private static final EngineInstance ENGINE = new EngineInstance("e", "s", "h:1", "z", 1, false);
-  private static final EngineTenant NOBODY = new EngineTenant.PassThrough();
+  private static final EngineTenant PASS_THROUGH = new EngineTenant.PassThrough();
 
   private static RequestFingerprint fingerprint(
       String id, String uri, EngineTenant tenant, String body) {
@@ -34,23 +34,24 @@
 
   @Test
   void retriesHaveSameFingerprint() {
-    assertThat(fingerprint("first", "/a?q=1", NOBODY, "body"))
-        .isEqualTo(fingerprint("second", "/a?q=1", NOBODY, "body"));
+    assertThat(fingerprint("first", "/a?q=1", PASS_THROUGH, "body"))
+        .isEqualTo(fingerprint("second", "/a?q=1", PASS_THROUGH, "body"));
   }
 
   @Test
   void differsByPathQueryTenantAndBody() {
-    RequestFingerprint one = fingerprint("id", "/a?q=1", NOBODY, "body");
-    assertThat(fingerprint("id", "/b?q=1", NOBODY, "body")).isNotEqualTo(one);
-    assertThat(fingerprint("id", "/a?q=2", NOBODY, "body")).isNotEqualTo(one);
-    assertThat(fingerprint("id", "/a?q=1", new EngineTenant.Named("t"), "body")).isNotEqualTo(one);
-    assertThat(fingerprint("id", "/a?q=1", NOBODY, "bodY")).isNotEqualTo(one);
-    assertThat(fingerprint("id", "/a?q=1", NOBODY, "")).isNotEqualTo(one);
+    RequestFingerprint original = fingerprint("id", "/a?q=1", PASS_THROUGH, "body");
+    assertThat(fingerprint("id", "/b?q=1", PASS_THROUGH, "body")).isNotEqualTo(original);
+    assertThat(fingerprint("id", "/a?q=2", PASS_THROUGH, "body")).isNotEqualTo(original);
+    assertThat(fingerprint("id", "/a?q=1", new EngineTenant.Named("t"), "body"))
+        .isNotEqualTo(original);
+    assertThat(fingerprint("id", "/a?q=1", PASS_THROUGH, "bodY")).isNotEqualTo(original);
+    assertThat(fingerprint("id", "/a?q=1", PASS_THROUGH, "")).isNotEqualTo(original);
   }
 
   @Test
   void outlineDependsOnBodyLength() {
-    assertThat(fingerprint("id", "/a", NOBODY, "1").outline())
-        .isNotEqualTo(fingerprint("id", "/a", NOBODY, "12").outline());
+    assertThat(fingerprint("id", "/a", PASS_THROUGH, "1").outline())
+        .isNotEqualTo(fingerprint("id", "/a", PASS_THROUGH, "12").outline());
   }
 }
