--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -250,8 +250,10 @@
   }
 
   private void onConnectionLost(String reason) {
-    boolean noResponse = usedBefore && !responseStarted;
-    fail(noResponse ? EngineFailure.CLOSED_BEFORE_ANSWER : EngineFailure.CONNECTION_ENDED, reason);
+    boolean closedBeforeResponse = usedBefore && !responseStarted;
+    fail(
+        closedBeforeResponse ? EngineFailure.CLOSED_BEFORE_ANSWER : EngineFailure.CONNECTION_ENDED,
+        reason);
   }
 
   private void fail(EngineFailure failure, String reason) {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
@@ -66,7 +66,7 @@
     receivers.add(receiver);
     pendingReceivers.put(engine.lifeId(), receivers);
     // Deferred until the closing of all connections to the engine has been processed.
-    eventLoop.execute(() -> new Probe(engine).ask());
+    eventLoop.execute(() -> new Probe(engine).send());
   }
 
   /**
@@ -97,7 +97,7 @@
       this.engine = engine;
     }
 
-    void ask() {
+    void send() {
       attempts++;
       body.reset();
       handle = transport.start(EngineLoadClient.reportCall(protocol, engine), this);
@@ -148,7 +148,7 @@
       if (failure == EngineFailure.CONNECTION_REFUSED) {
         finish(isDown(engine) ? Verdict.ENDED : Verdict.ALIVE);
       } else if (failure.isLostConnection() && attempts < MAX_ATTEMPTS && !decided) {
-        ask();
+        send();
       } else {
         finish(Verdict.UNKNOWN);
       }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
@@ -73,7 +73,7 @@
   /**
    * Cost of load and prefill. If engines are uneven, it is weighted by pace and includes the
    * request's own slot: otherwise a slow engine would cost as little as a fast one whenever both
-   * look empty, which is often, because most of their requests come from other processes.
+   * look idle, which is often, because most of their requests come from other processes.
    */
   private static double workCost(
       EngineState engine, long prefillTokens, ServicePace pace, long nowMs) {
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
@@ -44,11 +44,11 @@
       new LinkedHashMap<>();
 
   /** Adds a crash; a repeated report of it is ignored. */
-  public void add(EngineEnd end, long nowMs) {
-    double weight = end.answerBegan() ? ANSWER_BEGAN_WEIGHT : 1;
+  public void add(EngineEnd crash, long nowMs) {
+    double weight = crash.answerBegan() ? ANSWER_BEGAN_WEIGHT : 1;
     crashesByRequest
-        .computeIfAbsent(end.request(), key -> new HashMap<>())
-        .putIfAbsent(end.engine(), new Evidence(weight, nowMs));
+        .computeIfAbsent(crash.request(), key -> new HashMap<>())
+        .putIfAbsent(crash.engine(), new Evidence(weight, nowMs));
     if (crashesByRequest.size() > MAX_REQUESTS) {
       Iterator<RequestFingerprint> oldest = crashesByRequest.keySet().iterator();
       oldest.next();
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
@@ -92,10 +92,10 @@
         new EngineEndNotice(List.copyOf(unreportedCrashes), List.copyOf(served));
     coordinators
         .call(notice, CALL_TIMEOUT_MS, ATTEMPT_TIMEOUT_MS)
-        .thenAcceptAsync(result -> onAnswer(notice, result), eventLoop);
+        .thenAcceptAsync(result -> onReply(notice, result), eventLoop);
   }
 
-  private void onAnswer(EngineEndNotice notice, Result<Message, GroupCallError> result) {
+  private void onReply(EngineEndNotice notice, Result<Message, GroupCallError> result) {
     sending = false;
     boolean accepted = result.isOk() && result.value() instanceof EngineEndNoted;
     if (accepted) {
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
@@ -33,7 +33,7 @@
   private static final Handle NOTHING_TO_CANCEL = () -> {};
 
   private final EngineTransport transport;
-  private final EngineLivenessProbe liveness;
+  private final EngineLivenessProbe livenessProbe;
   private final EngineCrashReporter reporter;
   private final Executor eventLoop;
   private final Consumer<EngineInstance> onEngineDown;
@@ -49,12 +49,12 @@
    */
   public QuarantiningTransport(
       EngineTransport transport,
-      EngineLivenessProbe liveness,
+      EngineLivenessProbe livenessProbe,
       EngineCrashReporter reporter,
       Executor eventLoop,
       Consumer<EngineInstance> onEngineDown) {
     this.transport = transport;
-    this.liveness = liveness;
+    this.livenessProbe = livenessProbe;
     this.reporter = reporter;
     this.eventLoop = eventLoop;
     this.onEngineDown = onEngineDown;
@@ -70,13 +70,13 @@
   }
 
   @Override
-  public Handle start(EngineCall call, EngineListener caller) {
+  public Handle start(EngineCall call, EngineListener listener) {
     if (call.hasRequestId() && quarantine.isQuarantined(call, nowMs())) {
       eventLoop.execute(
-          () -> caller.onFailure(EngineFailure.QUARANTINED, "engines ended under this request"));
+          () -> listener.onFailure(EngineFailure.QUARANTINED, "engines ended under this request"));
       return NOTHING_TO_CANCEL;
     }
-    return transport.start(call, new WatchedCall(call, caller));
+    return transport.start(call, new WatchedCall(call, listener));
   }
 
   private void onInterrupted(InterruptedRequest request) {
@@ -87,7 +87,7 @@
       return;
     }
     interruptedByInstance.put(engine.lifeId(), new ArrayList<>(List.of(request)));
-    liveness.check(engine, verdict -> onVerdict(engine, verdict));
+    livenessProbe.check(engine, verdict -> onVerdict(engine, verdict));
   }
 
   private void onVerdict(EngineInstance engine, Verdict verdict) {
@@ -152,23 +152,23 @@
     private static final int SUCCESS_TO = 300;
 
     private final EngineCall call;
-    private final EngineListener caller;
+    private final EngineListener listener;
     private int status;
 
-    WatchedCall(EngineCall call, EngineListener caller) {
+    WatchedCall(EngineCall call, EngineListener listener) {
       this.call = call;
-      this.caller = caller;
+      this.listener = listener;
     }
 
     @Override
     public void onHead(EngineResponse response) {
       status = response.status();
-      caller.onHead(response);
+      listener.onHead(response);
     }
 
     @Override
     public void onBody(byte[] part) {
-      caller.onBody(part);
+      listener.onBody(part);
     }
 
     @Override
@@ -176,17 +176,18 @@
       if (call.hasRequestId() && status >= SUCCESS_FROM && status < SUCCESS_TO) {
         onServed(call);
       }
-      caller.onEnd();
+      listener.onEnd();
     }
 
     @Override
     public void onFailure(EngineFailure failure, String reason) {
       if (failure.isLostConnection() && call.hasRequestId()) {
         onInterrupted(new InterruptedRequest(call, status != 0));
-      } else if (failure == EngineFailure.CONNECTION_REFUSED && liveness.isDown(call.engine())) {
+      } else if (failure == EngineFailure.CONNECTION_REFUSED
+          && livenessProbe.isDown(call.engine())) {
         onEngineDown.accept(call.engine());
       }
-      caller.onFailure(failure, reason);
+      listener.onFailure(failure, reason);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
@@ -14,7 +14,7 @@
  * this process has found is quarantined until the leader's decision can be expected.
  */
 final class RequestQuarantine {
-  /** Several elections of 0.6 to 1.2 s. */
+  /** Time for several leader elections, which take 0.6 to 1.2 s each. */
   private static final long LOCAL_VALID_MS = 10_000;
 
   private final Set<Integer> outlines = new HashSet<>();
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
@@ -54,7 +54,7 @@
       this.eventMs = eventMs;
     }
 
-    void take(Runnable begin) {
+    void submit(Runnable begin) {
       if (running < SLOTS) {
         running++;
         begin.run();
@@ -63,7 +63,7 @@
       }
     }
 
-    void free() {
+    void release() {
       if (waiting.isEmpty()) {
         running--;
       } else {
@@ -79,7 +79,7 @@
           Comparator.comparingDouble(ScheduledAction::atMs).thenComparing(ScheduledAction::order));
   private final Map<String, Engine> engines = new HashMap<>();
   private final List<EngineTable> tables = new ArrayList<>();
-  private final List<EngineLoadBalancer> choices = new ArrayList<>();
+  private final List<EngineLoadBalancer> loadBalancers = new ArrayList<>();
   private double nowMs;
   private long order;
   private int served;
@@ -87,9 +87,9 @@
   private int servedBySlow;
   private int lateAtSlow;
 
-  HeterogeneousEnginesSimulation(long seed, boolean paceTold) {
+  HeterogeneousEnginesSimulation(long seed, boolean reportsPace) {
     this.random = new SplittableRandom(seed);
-    this.reportsPace = paceTold;
+    this.reportsPace = reportsPace;
     Map<String, EngineInstance> listed = new HashMap<>();
     for (int i = 0; i < ENGINES; i++) {
       String id = "e" + i;
@@ -101,7 +101,7 @@
       EngineTable table = new EngineTable(REPORT_HALF_LIFE_MS);
       table.update(listed);
       tables.add(table);
-      choices.add(new EngineLoadBalancer(ZONES.get(i % ZONES.size()), seed + i));
+      loadBalancers.add(new EngineLoadBalancer(ZONES.get(i % ZONES.size()), seed + i));
     }
   }
 
@@ -132,13 +132,14 @@
     schedule(-Math.log(1 - random.nextDouble()) / perMs, this::arrive);
     int gateway = random.nextInt(GATEWAYS);
     List<EngineState> usable = tables.get(gateway).usable("s", Set.of(), clockMs());
-    Placement placement = choices.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
+    Placement placement =
+        loadBalancers.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
     EngineState state = placement.engine();
     Engine engine = engines.get(state.instance().id());
     double sentMs = nowMs;
     state.onStart(clockMs());
     state.onPromptSent(placement.prefillTokens());
-    engine.take(() -> begin(state, engine, sentMs, placement.prefillTokens()));
+    engine.submit(() -> begin(state, engine, sentMs, placement.prefillTokens()));
   }
 
   private void begin(EngineState state, Engine engine, double sentMs, long tokens) {
@@ -171,6 +172,6 @@
   private void end(EngineState state, Engine engine, long spanMs) {
     state.pace().onStream(EVENTS - 1, spanMs, clockMs());
     state.onEnd();
-    engine.free();
+    engine.release();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
@@ -17,7 +17,7 @@
   private static final Prompt SHORT_PROMPT = new Prompt(600, "head", 150);
 
   private final EngineTable table = new EngineTable(REPORT_HALF_LIFE_MS);
-  private final EngineLoadBalancer choice = new EngineLoadBalancer("a", 1);
+  private final EngineLoadBalancer loadBalancer = new EngineLoadBalancer("a", 1);
 
   TestEngineLoadBalancer() {
     Map<String, EngineInstance> engines = new HashMap<>();
@@ -31,7 +31,7 @@
   }
 
   private EngineState choose(Prompt prompt) {
-    return place(choice, prompt).engine();
+    return place(loadBalancer, prompt).engine();
   }
 
   private Placement place(EngineLoadBalancer balancer, Prompt prompt) {
@@ -86,12 +86,12 @@
 
   @Test
   void countsPrefixAsCachedOnlyAtOwner() {
-    Placement atOwner = place(choice, longPrompt("x"));
+    Placement atOwner = place(loadBalancer, longPrompt("x"));
     assertThat(atOwner.prefillTokens()).isEqualTo(9_000 - 6_300);
     for (int i = 0; i < 10; i++) {
       atOwner.engine().onStart(NOW_MS);
     }
-    Placement elsewhere = place(choice, longPrompt("x"));
+    Placement elsewhere = place(loadBalancer, longPrompt("x"));
     assertThat(elsewhere.engine()).isNotEqualTo(atOwner.engine());
     assertThat(elsewhere.prefillTokens()).isEqualTo(9_000);
   }
@@ -137,9 +137,9 @@
 
   @Test
   void unlistedEngineIsUnusable() {
-    EngineState kept = table.find("a0");
+    EngineState unlisted = table.find("a0");
     table.update(Map.of());
-    assertThat(kept.isUsable(NOW_MS)).isFalse();
+    assertThat(unlisted.isUsable(NOW_MS)).isFalse();
     assertThat(table.all()).isEmpty();
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
@@ -8,7 +8,7 @@
 
 class TestCrashCauseDetector {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
-  private static final RequestFingerprint INNOCENT = new RequestFingerprint(2, "innocent");
+  private static final RequestFingerprint OTHER = new RequestFingerprint(2, "other");
   private static final long LATER_MS = 61_000;
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
@@ -41,7 +41,7 @@
 
   @Test
   void concurrentRequestIsNoCause() {
-    crashed(INNOCENT, "a", "b", "c");
+    crashed(OTHER, "a", "b", "c");
     crashed(BAD, "a", "b", "c", "d");
     assertThat(detector.causes(known -> false)).containsExactly(BAD);
   }
@@ -52,35 +52,35 @@
    */
   @Test
   void clearsInnocentOnceCausesAreFound() {
-    crashed(INNOCENT, "a", "b", "c");
+    crashed(OTHER, "a", "b", "c");
     crashed(BAD, "a", "b");
-    assertThat(detector.causes(known -> false)).containsExactly(INNOCENT);
+    assertThat(detector.causes(known -> false)).containsExactly(OTHER);
     crashed(BAD, "d", "e");
-    assertThat(detector.causes(INNOCENT::equals)).containsExactly(BAD);
-    assertThat(detector.hasSufficientEvidence(INNOCENT)).isTrue();
+    assertThat(detector.causes(OTHER::equals)).containsExactly(BAD);
+    assertThat(detector.hasSufficientEvidence(OTHER)).isTrue();
   }
 
   @Test
   void tieFavorsQuarantinedRequest() {
     crashed(BAD, "a", "b", "c");
-    crashed(INNOCENT, "a", "b", "c");
-    assertThat(detector.causes(INNOCENT::equals)).containsExactly(INNOCENT);
+    crashed(OTHER, "a", "b", "c");
+    assertThat(detector.causes(OTHER::equals)).containsExactly(OTHER);
     assertThat(detector.causes(BAD::equals)).containsExactly(BAD);
   }
 
   @Test
   void unexplainedCrashesMakeSecondCause() {
     crashed(BAD, "a", "b", "c", "d");
-    crashed(INNOCENT, "a", "e", "f", "g");
-    assertThat(detector.causes(known -> false)).containsExactly(BAD, INNOCENT);
+    crashed(OTHER, "a", "e", "f", "g");
+    assertThat(detector.causes(known -> false)).containsExactly(BAD, OTHER);
   }
 
   @Test
   void startedResponseCountsHalf() {
-    crashedWhileResponding(INNOCENT, "a", "b", "c", "d", "e");
+    crashedWhileResponding(OTHER, "a", "b", "c", "d", "e");
     assertThat(detector.causes(known -> false)).isEmpty();
-    crashedWhileResponding(INNOCENT, "f");
-    assertThat(detector.causes(known -> false)).containsExactly(INNOCENT);
+    crashedWhileResponding(OTHER, "f");
+    assertThat(detector.causes(known -> false)).containsExactly(OTHER);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
@@ -32,6 +32,6 @@
     detector.expire(FIRST_CRASHES_EXPIRED_MS);
     boolean released =
         detector.hasSufficientEvidence(BAD) && !detector.causes(BAD::equals).contains(BAD);
-    assertThat(released).as("no other request explains the crashes").isFalse();
+    assertThat(released).as("released without another cause").isFalse();
   }
 }
