--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
@@ -57,10 +57,10 @@
   }
 
   /** Adds a pace that the engine reported. */
-  public void onReported(int paceInHundredths, long nowMs) {
+  public void onReported(int pacePercent, long nowMs) {
     reportCount = Math.min(reportCount + 1, MAX_SAMPLES);
-    averageReported += (paceInHundredths - averageReported) / reportCount;
-    lastReported = paceInHundredths;
+    averageReported += (pacePercent - averageReported) / reportCount;
+    lastReported = pacePercent;
     lastReportAtMs = nowMs;
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
@@ -12,8 +12,8 @@
 
   /**
    * How long an engine that is down gets no calls, even if no other engine is left: the engine list
-   * shows its end and its restart some seconds late, and a request is rejected after several
-   * refused connections.
+   * shows failure and restart some seconds late, and a request is rejected after several refused
+   * connections.
    */
   private static final long DOWN_PAUSE_MS = 1_000;
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/ServicePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/ServicePace.java
@@ -25,8 +25,8 @@
   private final double medianMsPerEvent;
   private final long nowMs;
 
-  private ServicePace(double usualMsPerEvent, long nowMs) {
-    this.medianMsPerEvent = usualMsPerEvent;
+  private ServicePace(double medianMsPerEvent, long nowMs) {
+    this.medianMsPerEvent = medianMsPerEvent;
     this.nowMs = nowMs;
   }
 
