--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
@@ -133,7 +133,7 @@
     if (!sameTerm) {
       stopAll();
       term = group.replica().term();
-      scheduler.onLeadershipGained(nowMs);
+      scheduler.setLeaderSince(nowMs);
     }
     if (!group.isLeading() || nowMs < nextScheduleMs) {
       return;
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
@@ -37,7 +37,7 @@
   }
 
   private final EngineTable engines;
-  private final EngineLoadBalancer choice;
+  private final EngineLoadBalancer loadBalancer;
   private final ItemSlack slack;
   private final BatchSlotPolicy slotPolicy = new BatchSlotPolicy();
   private final TrafficSplit split = new TrafficSplit();
@@ -45,12 +45,12 @@
 
   ItemScheduler(EngineTable engines, EngineLoadBalancer choice, ItemSlack slack) {
     this.engines = engines;
-    this.choice = choice;
+    this.loadBalancer = choice;
     this.slack = slack;
   }
 
   /** This store began to lead its group. */
-  void onLeadershipGained(long nowMs) {
+  void setLeaderSince(long nowMs) {
     leaderSinceMs = nowMs;
   }
 
@@ -112,7 +112,7 @@
     ToLongFunction<EngineState> slackAt =
         engine -> slack.slackMs(run, pace.relativePace(engine), nowMs);
     List<EngineState> preferred = ItemPlacement.candidates(open, pace, urgency, slackAt);
-    Optional<Placement> chosen = choice.choose(preferred, pace, Prompt.UNKNOWN, nowMs);
+    Optional<Placement> chosen = loadBalancer.choose(preferred, pace, Prompt.UNKNOWN, nowMs);
     if (chosen.isEmpty()) {
       return ItemStartResult.NO_ENGINE_FAST_ENOUGH;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
@@ -25,7 +25,7 @@
   private final SseEventScanner scanner;
   private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
   private EngineTransport.Handle handle;
-  private EngineResponse answer;
+  private EngineResponse response;
   private volatile EngineLoadReport load;
   private volatile long headReceivedMs;
   private long lastDrainedEvent;
@@ -120,13 +120,13 @@
   @Override
   public void onHead(EngineResponse head) {
     lastReceivedMs = nowMs();
-    answer = head;
+    response = head;
     headReceivedMs = lastReceivedMs;
     load = head.load();
   }
 
   private boolean isSuccess() {
-    return answer.status() >= SUCCESS_FROM && answer.status() < SUCCESS_TO;
+    return response.status() >= SUCCESS_FROM && response.status() < SUCCESS_TO;
   }
 
   @Override
@@ -149,16 +149,16 @@
     if (isSuccess()) {
       boolean whole = !scanner.hasPartialEvent();
       finish(whole ? ItemOutcome.Kind.DONE : ItemOutcome.Kind.BROKEN, "ended");
-    } else if (answer.wrongInstance()) {
+    } else if (response.wrongInstance()) {
       finish(ItemOutcome.Kind.OTHER_INSTANCE, "another engine");
-    } else if (answer.notRun()) {
-      finish(ItemOutcome.Kind.REFUSED, "refused with " + answer.status());
-    } else if (answer.status() == UNPROCESSABLE) {
+    } else if (response.notRun()) {
+      finish(ItemOutcome.Kind.REFUSED, "refused with " + response.status());
+    } else if (response.status() == UNPROCESSABLE) {
       finish(ItemOutcome.Kind.IMPOSSIBLE, "impossible");
-    } else if (answer.status() == INTERNAL_SERVER_ERROR) {
-      finish(ItemOutcome.Kind.FAILED, "status " + answer.status());
+    } else if (response.status() == INTERNAL_SERVER_ERROR) {
+      finish(ItemOutcome.Kind.FAILED, "status " + response.status());
     } else {
-      finish(ItemOutcome.Kind.UNCLEAR, "status " + answer.status());
+      finish(ItemOutcome.Kind.UNCLEAR, "status " + response.status());
     }
   }
 
@@ -179,9 +179,9 @@
   private void finish(ItemOutcome.Kind kind, String reason) {
     over = true;
     long retryAfterMs =
-        answer == null || answer.retryAfterMs() == 0
+        response == null || response.retryAfterMs() == 0
             ? DEFAULT_RETRY_AFTER_MS
-            : answer.retryAfterMs();
+            : response.retryAfterMs();
     listener.accept(new ItemOutcome(kind, takeEvents(), retryAfterMs, reason));
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/MixedLoadSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/MixedLoadSimulation.java
@@ -33,7 +33,7 @@
   private static final int SLOTS = 8;
   private static final long DURATION_MS = 54_000;
   private static final long PEAK_INTERVAL_MS = 6_000;
-  private static final long TROUGH_MS = 3_600;
+  private static final long OFF_PEAK_MS = 3_600;
   private static final double OFF_PEAK_REQUESTS_PER_MS = 0.0147;
   private static final double PEAK_REQUESTS_PER_MS = 0.072;
   private static final double EVENT_MS = 23.5;
@@ -158,9 +158,9 @@
   private final Map<String, Engine> engines = new HashMap<>();
   private final Map<String, EngineInstance> engineList = new HashMap<>();
   private final List<EngineTable> gatewayTables = new ArrayList<>();
-  private final List<EngineLoadBalancer> gatewayChoices = new ArrayList<>();
+  private final List<EngineLoadBalancer> gatewayBalancers = new ArrayList<>();
   private EngineTable storeTable = new EngineTable(STORE_HALF_LIFE_MS);
-  private final EngineLoadBalancer storeChoice;
+  private final EngineLoadBalancer storeBalancer;
   private final List<Item> items = new ArrayList<>();
   private double nowMs;
   private double leaderSinceMs;
@@ -185,9 +185,9 @@
     }
     for (int i = 0; i < GATEWAYS; i++) {
       gatewayTables.add(new EngineTable(GATEWAY_HALF_LIFE_MS));
-      gatewayChoices.add(new EngineLoadBalancer(ZONES.get(i % ZONES.size()), seed + i));
+      gatewayBalancers.add(new EngineLoadBalancer(ZONES.get(i % ZONES.size()), seed + i));
     }
-    storeChoice = new EngineLoadBalancer(ZONES.get(0), seed);
+    storeBalancer = new EngineLoadBalancer(ZONES.get(0), seed);
     resetProcesses();
   }
 
@@ -247,7 +247,7 @@
   // ---- online requests
 
   private boolean inPeak() {
-    return nowMs % PEAK_INTERVAL_MS >= TROUGH_MS;
+    return nowMs % PEAK_INTERVAL_MS >= OFF_PEAK_MS;
   }
 
   private void generateRequest() {
@@ -269,7 +269,7 @@
     int gateway = random.nextInt(GATEWAYS);
     List<EngineState> usable = gatewayTables.get(gateway).usable("s", Set.of(), clockMs());
     Placement placement =
-        gatewayChoices.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
+        gatewayBalancers.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
     EngineState state = placement.engine();
     Engine engine = engines.get(state.instance().id());
     double sentMs = nowMs;
@@ -414,7 +414,7 @@
       if (open.isEmpty()) {
         return;
       }
-      start(item, storeChoice.choose(open, Prompt.UNKNOWN, clockMs()).orElseThrow().engine());
+      start(item, storeBalancer.choose(open, Prompt.UNKNOWN, clockMs()).orElseThrow().engine());
     }
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
@@ -127,7 +127,7 @@
 
   @Test
   void waitsForFirstLoadReport() {
-    scheduler.onLeadershipGained(NOW_MS - 100);
+    scheduler.setLeaderSince(NOW_MS - 100);
     startItems();
     assertThat(started).isEmpty();
   }
