--- a/fleet/src/main/java/io/pathdeck/fleet/queue/FairQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/FairQueue.java
@@ -5,7 +5,7 @@
 
 /**
  * The waiting requests of one rank, fair between tenants (start-time fair queueing): the tenant
- * that used least of late is next, so that a flood delays the tenant that sends it.
+ * with the lowest recent usage is next, so that a flood delays the tenant that sends it.
  */
 final class FairQueue<T> {
   private final Map<String, TenantQueue<T>> tenants = new LinkedHashMap<>();
@@ -44,7 +44,7 @@
     return nextTenant().first();
   }
 
-  /** Takes the first request out and charges its tenant. */
+  /** Removes the first request and charges its tenant. */
   TenantQueue.Arrival<T> poll() {
     timesSkipped = 0;
     TenantQueue<T> tenant = nextTenant();
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueueActivation.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueueActivation.java
@@ -3,7 +3,7 @@
 import io.pathdeck.protocol.fleet.CallerTenant;
 import io.pathdeck.protocol.fleet.RouteTable;
 
-/** Whether a configuration lets callers compete, so that the order of their requests matters. */
+/** Decides whether requests are queued: their order matters only if callers compete for engines. */
 public final class QueueActivation {
   private QueueActivation() {}
 
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueueDecision.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueueDecision.java
@@ -1,13 +1,13 @@
 package io.pathdeck.fleet.queue;
 
-/** What happens to a request now. */
+/** The decision on a request. */
 public sealed interface QueueDecision {
-  /** It goes to an engine now. */
+  /** The request is sent to an engine now. */
   record Send() implements QueueDecision {}
 
-  /** It waits for room, until the given time at most. */
+  /** The request is held until an engine has a free slot, at most until {@code untilMs}. */
   record Wait(long untilMs) implements QueueDecision {}
 
-  /** Its caller's time will be over before an engine can take it. */
+  /** The request is rejected: its deadline will pass before an engine can take it. */
   record Reject(long expectedWaitMs) implements QueueDecision {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/Rank.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/Rank.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 
 /**
- * How urgent a request is among those that wait; what sorts lower is sent first.
+ * The urgency of a waiting request; the lowest rank is sent first.
  *
- * @param retry whether an engine failed the request before: its caller has waited already
+ * @param retry whether an engine failed the request before, so that its caller has already waited
  * @param tenantPriority the priority of its tenant; 0 is most urgent
  * @param routePriority the priority of its route; 0 is most urgent
  */
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/RequestQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/RequestQueue.java
@@ -10,17 +10,17 @@
 import java.util.TreeMap;
 
 /**
- * The requests of one service that wait for room at an engine; bounded, confined to one thread.
+ * The requests of one service that wait for a free slot; bounded, confined to one thread.
  *
- * <p>It answers a load beyond the engines' places for some hundred milliseconds. Requests leave by
- * rank, then fairly between tenants, then by the time when they are due. A rank that was passed
- * over often enough is next, so that a less urgent one does not starve. When the queue is full, the
- * newest request of the tenant with most waiting work gives way.
+ * <p>It absorbs load beyond the engines' slots for some hundred milliseconds. Requests leave by
+ * rank, then fairly between tenants, then by due time. A rank that has been skipped often enough is
+ * next, so that it does not starve. When the queue is full, the newest request of the tenant with
+ * the most waiting work is evicted.
  */
 public final class RequestQueue<T> {
   /**
-   * After how many requests of other ranks a waiting rank is next: urgent callers lose at most one
-   * place in nine to each less urgent rank.
+   * After how many requests of other ranks a waiting rank is next: urgent requests lose at most one
+   * send in nine to each less urgent rank.
    */
   static final int MAX_TIMES_SKIPPED = 8;
 
@@ -31,26 +31,26 @@
   private long bytes;
   private long nextSequence;
 
-  /** An empty queue with its bounds; a request alone in the queue may be larger. */
+  /** Creates an empty queue; a single request in it may exceed {@code maxBytes}. */
   public RequestQueue(int maxRequests, long maxBytes) {
     this.maxRequests = maxRequests;
     this.maxBytes = maxBytes;
   }
 
-  /** Adds a request that is not in the queue; returns those that give way, perhaps itself. */
+  /** Adds a request that is not in the queue; returns the evicted ones, possibly itself. */
   public List<WaitingRequest<T>> add(WaitingRequest<T> waiting) {
     if (arrivals.containsKey(waiting.request())) {
-      throw new IllegalArgumentException("the request waits already");
+      throw new IllegalArgumentException("the request is already in the queue");
     }
     TenantQueue.Arrival<T> arrival = new TenantQueue.Arrival<>(waiting, nextSequence++);
     arrivals.put(waiting.request(), arrival);
     bytes += waiting.bytes();
     queuesByRank.computeIfAbsent(waiting.rank(), added -> new FairQueue<>()).add(arrival);
-    List<WaitingRequest<T>> givenWay = new ArrayList<>();
+    List<WaitingRequest<T>> evicted = new ArrayList<>();
     while (arrivals.size() > 1 && (arrivals.size() > maxRequests || bytes > maxBytes)) {
-      givenWay.add(evictOne());
+      evicted.add(evictOne());
     }
-    return givenWay;
+    return evicted;
   }
 
   private WaitingRequest<T> evictOne() {
@@ -73,12 +73,12 @@
     return work.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
   }
 
-  /** The request that is next, if any waits. */
+  /** Returns the next request, if any. */
   public Optional<WaitingRequest<T>> peek() {
-    return nextQueue().map(rank -> rank.first().waiting());
+    return nextQueue().map(queue -> queue.first().waiting());
   }
 
-  /** Takes the next request out, if any waits. */
+  /** Removes and returns the next request, if any. */
   public Optional<WaitingRequest<T>> poll() {
     Optional<FairQueue<T>> next = nextQueue();
     if (next.isEmpty()) {
@@ -96,19 +96,21 @@
 
   private Optional<FairQueue<T>> nextQueue() {
     FairQueue<T> best = null;
-    for (FairQueue<T> rank : queuesByRank.values()) {
-      if (rank.isEmpty()) {
+    for (FairQueue<T> queue : queuesByRank.values()) {
+      if (queue.isEmpty()) {
         continue;
       }
-      boolean starved = rank.timesSkipped() >= MAX_TIMES_SKIPPED;
-      if (best == null || (starved && rank.timesSkipped() > best.timesSkipped())) {
-        best = rank;
+      boolean starved = queue.timesSkipped() >= MAX_TIMES_SKIPPED;
+      if (best == null || (starved && queue.timesSkipped() > best.timesSkipped())) {
+        best = queue;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  /** Takes a request out whose caller has left or whose time is over; false if it does not wait. */
+  /**
+   * Removes a request that was canceled or has expired; returns false if it is not in the queue.
+   */
   public boolean remove(T request) {
     TenantQueue.Arrival<T> arrival = arrivals.get(request);
     if (arrival == null) {
@@ -124,17 +126,16 @@
     bytes -= waiting.bytes();
   }
 
-  /** Whether a request has waited as long as it may. */
+  /** Whether the hold of any request has ended. */
   public boolean hasExpiredHold(long nowMs) {
     return arrivals.values().stream().anyMatch(arrival -> arrival.waiting().holdUntilMs() <= nowMs);
   }
 
-  /** How many requests wait. */
+  /** The number of waiting requests. */
   public int size() {
     return arrivals.size();
   }
 
-  /** Whether no request waits. */
   public boolean isEmpty() {
     return arrivals.isEmpty();
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/RetryAfterSchedule.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/RetryAfterSchedule.java
@@ -3,27 +3,29 @@
 import java.util.TreeSet;
 
 /**
- * Tells rejected callers when to come back: each at a moment of its own from when room is expected
- * on, those rejected first before the others. Confined to one thread.
+ * Assigns retry times to rejected callers: each gets a time slot of its own from when capacity is
+ * expected, earlier rejections first. Confined to one thread.
  */
 public final class RetryAfterSchedule {
-  /** Callers follow a time to come back only up to this share of the time that they have left. */
+  /** Callers ignore a retry delay longer than their remaining time divided by this. */
   private static final long CALLER_TIME_DIVISOR = 3;
 
-  /** How far apart callers come back, so that a crowd does not return as one. */
+  /** Width of a time slot, so that rejected callers do not return all at once. */
   private static final long SPACING_MS = 5;
 
   private static final long MIN_RETRY_AFTER_MS = 20;
 
-  /** Multiples of it modulo 1 stay far apart from each other, however many there are. */
+  /** Multiples of it modulo 1 are spread evenly, however many there are. */
   private static final double GOLDEN_RATIO = 0.618_033_988_749_895;
 
-  /** The moments that were told and have not come, as multiples of the spacing. */
+  /** The reserved slots that are not past, as multiples of {@link #SPACING_MS}. */
   private final TreeSet<Long> reservedSlots = new TreeSet<>();
 
   private double spreadPosition;
 
-  /** When a caller comes back that is rejected now and has {@code timeLeftMs}. */
+  /**
+   * The delay after which a caller that is rejected now with {@code timeLeftMs} left should retry.
+   */
   public long retryAfterMs(long expectedWaitMs, long timeLeftMs, long nowMs) {
     reservedSlots.headSet(nowMs / SPACING_MS).clear();
     long longestMs = Math.max(MIN_RETRY_AFTER_MS, timeLeftMs / CALLER_TIME_DIVISOR);
@@ -40,7 +42,7 @@
     return spreadRetryAfterMs(earliestMs, longestMs);
   }
 
-  /** All moments are taken: callers meet, but stay spread. */
+  /** Used when all slots are reserved: retries may coincide, but stay spread. */
   private long spreadRetryAfterMs(long earliestMs, long longestMs) {
     spreadPosition = (spreadPosition + GOLDEN_RATIO) % 1;
     return earliestMs + Math.round(spreadPosition * (longestMs - earliestMs));
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/ServiceTimes.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/ServiceTimes.java
@@ -1,33 +1,33 @@
 package io.pathdeck.fleet.queue;
 
-/** How long the requests of a service take of late; confined to one thread. */
+/** Recent response and slot times of the requests of a service; confined to one thread. */
 public final class ServiceTimes {
-  /** How much a new time counts: the means follow some ten requests. */
+  /** Weight of a new sample: the means follow about ten requests. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
   private double firstByteMs;
   private double slotTimeMs;
 
-  /** A request that found room got its first bytes this long after it was sent. */
+  /** Records the time from sending a request to an engine with a free slot to its first bytes. */
   public void onFirstBytes(long afterMs) {
     firstByteMs = movingMean(firstByteMs, afterMs);
   }
 
-  /** A request held its place for this long. */
+  /** Records for how long a request held its slot. */
   public void onSlotFreed(long heldMs) {
     slotTimeMs = movingMean(slotTimeMs, heldMs);
   }
 
-  private static double movingMean(double known, long newer) {
-    return known == 0 ? newer : known + (newer - known) * SAMPLE_WEIGHT;
+  private static double movingMean(double mean, long sample) {
+    return mean == 0 ? sample : mean + (sample - mean) * SAMPLE_WEIGHT;
   }
 
-  /** The usual time to the first bytes at an engine with room; 0 when not known. */
+  /** The mean time to the first bytes on an engine with a free slot; 0 if unknown. */
   public double firstByteMs() {
     return firstByteMs;
   }
 
-  /** The usual time for which a place is held; 0 when not known. */
+  /** The mean time for which a slot is held; 0 if unknown. */
   public double slotTimeMs() {
     return slotTimeMs;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/TenantQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/TenantQueue.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** The waiting requests of one tenant and rank, the earliest due first. */
+/** The waiting requests of one tenant and rank, earliest due first. */
 final class TenantQueue<T> {
-  /** A request with its place in the order of arrival. */
+  /** A request and its position in the order of arrival. */
   record Arrival<T>(WaitingRequest<T> waiting, long sequence) {}
 
   private final TreeSet<Arrival<T>> arrivals =
@@ -30,17 +30,17 @@
     return arrivals.first();
   }
 
-  /** When the tenant's next request starts in virtual time; a tenant gains nothing by idling. */
+  /** The virtual start time of the tenant's next request; an idle tenant accumulates no credit. */
   double startTag(double virtualTime) {
     return Math.max(virtualTime, finishTag);
   }
 
-  /** The request's work is charged to the tenant. */
+  /** Charges work that starts at {@code startTag} to the tenant. */
   void charge(double startTag, double work) {
     finishTag = startTag + work;
   }
 
-  /** Whether nothing waits and the charged work is over, so that the tenant can be forgotten. */
+  /** Whether nothing waits and the charged work is past, so that the tenant can be removed. */
   boolean isIdle(double virtualTime) {
     return arrivals.isEmpty() && finishTag <= virtualTime;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/WaitingRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/WaitingRequest.java
@@ -3,13 +3,12 @@
 /**
  * A request that waits to be sent to an engine.
  *
- * @param request what is sent
- * @param tenant whose share of the engines it uses; empty when callers have no tenants
- * @param sinceMs since when it waits
- * @param dueMs when its answer should begin
- * @param holdUntilMs when it is sent although no engine has room
- * @param bytes what it occupies in memory
- * @param work how much of an engine it needs, compared with other requests
+ * @param tenant the tenant that is charged for it; empty if callers have no tenants
+ * @param sinceMs when it began to wait
+ * @param dueMs when its response should begin
+ * @param holdUntilMs when it is sent even if no engine has a free slot
+ * @param bytes its size in memory
+ * @param work its cost for an engine, relative to other requests
  */
 public record WaitingRequest<T>(
     T request,
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
@@ -36,14 +36,14 @@
   @Test
   void sendsUnlessAllEnginesKnownFull() {
     QueueDecision send = new QueueDecision.Send();
-    EngineCapacity room = new EngineCapacity(SLOTS, 0, SLOTS, 50);
-    EngineCapacity oldWord = new EngineCapacity(SLOTS, 0, SLOTS + 5, 5_000);
-    EngineCapacity noWord = new EngineCapacity(SLOTS, 0, SLOTS + 5, -1);
-    EngineCapacity noSlots = new EngineCapacity(0, 9, 9, 50);
-    assertThat(decide(fresh(5_000), FULL, room)).isEqualTo(send);
-    assertThat(decide(fresh(5_000), FULL, oldWord)).isEqualTo(send);
-    assertThat(decide(fresh(5_000), FULL, noWord)).isEqualTo(send);
-    assertThat(decide(fresh(5_000), FULL, noSlots)).isEqualTo(send);
+    EngineCapacity notFull = new EngineCapacity(SLOTS, 0, SLOTS, 50);
+    EngineCapacity staleReport = new EngineCapacity(SLOTS, 0, SLOTS + 5, 5_000);
+    EngineCapacity noReport = new EngineCapacity(SLOTS, 0, SLOTS + 5, -1);
+    EngineCapacity unknownSlots = new EngineCapacity(0, 9, 9, 50);
+    assertThat(decide(fresh(5_000), FULL, notFull)).isEqualTo(send);
+    assertThat(decide(fresh(5_000), FULL, staleReport)).isEqualTo(send);
+    assertThat(decide(fresh(5_000), FULL, noReport)).isEqualTo(send);
+    assertThat(decide(fresh(5_000), FULL, unknownSlots)).isEqualTo(send);
     assertThat(decide(fresh(5_000))).isEqualTo(send);
   }
 
@@ -58,8 +58,8 @@
 
   @Test
   void gatewayLoadAloneShowsFullEngine() {
-    EngineCapacity fullOfOwn = new EngineCapacity(SLOTS, SLOTS + 1, SLOTS + 1, -1);
-    assertThat(decide(fresh(5_000), fullOfOwn)).isInstanceOf(QueueDecision.Wait.class);
+    EngineCapacity fullByGatewayLoad = new EngineCapacity(SLOTS, SLOTS + 1, SLOTS + 1, -1);
+    assertThat(decide(fresh(5_000), fullByGatewayLoad)).isInstanceOf(QueueDecision.Wait.class);
   }
 
   @Test
@@ -73,40 +73,40 @@
     assertThat(decide(mayHaveRun, crowded)).isInstanceOf(QueueDecision.Wait.class);
   }
 
-  /** One engine, a tenant's flood before four requests of a small one; who begins in time? */
+  /** On one engine, a flood of one tenant arrives before four requests of another. */
   @Test
   void otherTenantsFloodDoesNotDelaySmallTenant() {
     assertThat(smallTenantRequestsOnTime(false)).isEqualTo(0);
     assertThat(smallTenantRequestsOnTime(true)).isEqualTo(4);
   }
 
-  private int smallTenantRequestsOnTime(boolean ordered) {
+  private int smallTenantRequestsOnTime(boolean queued) {
     RequestQueue<Integer> queue = new RequestQueue<>(256, Long.MAX_VALUE);
     Deque<Integer> engineQueue = new ArrayDeque<>();
-    List<Long> placesFreeAtMs = new ArrayList<>();
-    int smallInTime = 0;
+    List<Long> slotsFreeAtMs = new ArrayList<>();
+    int smallOnTime = 0;
     for (long nowMs = 0; nowMs < 2_000; nowMs++) {
       long now = nowMs;
-      placesFreeAtMs.removeIf(freeAtMs -> freeAtMs <= now);
+      slotsFreeAtMs.removeIf(freeAtMs -> freeAtMs <= now);
       if (nowMs < 30 || (nowMs >= 60 && nowMs < 64)) {
-        arrive((int) nowMs, ordered, queue, engineQueue);
+        arrive((int) nowMs, queued, queue, engineQueue);
       }
-      while (maySend(queue, engineQueue.size() + placesFreeAtMs.size(), nowMs)) {
+      while (maySend(queue, engineQueue.size() + slotsFreeAtMs.size(), nowMs)) {
         engineQueue.add(queue.poll().orElseThrow().request());
       }
-      while (placesFreeAtMs.size() < SLOTS && !engineQueue.isEmpty()) {
+      while (slotsFreeAtMs.size() < SLOTS && !engineQueue.isEmpty()) {
         int startedMs = engineQueue.poll();
-        placesFreeAtMs.add(nowMs + SLOT_TIME_MS);
-        boolean inTime = nowMs + FIRST_BYTE_MS <= startedMs + DUE_MS;
-        smallInTime += startedMs >= 60 && inTime ? 1 : 0;
+        slotsFreeAtMs.add(nowMs + SLOT_TIME_MS);
+        boolean onTime = nowMs + FIRST_BYTE_MS <= startedMs + DUE_MS;
+        smallOnTime += startedMs >= 60 && onTime ? 1 : 0;
       }
     }
-    return smallInTime;
+    return smallOnTime;
   }
 
   private void arrive(
-      int nowMs, boolean ordered, RequestQueue<Integer> queue, Deque<Integer> engineQueue) {
-    if (!ordered) {
+      int nowMs, boolean queued, RequestQueue<Integer> queue, Deque<Integer> engineQueue) {
+    if (!queued) {
       engineQueue.add(nowMs);
       return;
     }
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestRequestQueue.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestRequestQueue.java
@@ -89,10 +89,10 @@
     for (int i = 1; i < MAX_REQUESTS; i++) {
       add("flood" + i, "hot", rank(0, 0), 1);
     }
-    List<WaitingRequest<String>> givenWay = queue.add(waiting("s2", "small", rank(5, 0), 9));
-    assertThat(givenWay).extracting(WaitingRequest::request).containsExactly("flood99");
-    givenWay = queue.add(waiting("new", "hot", rank(0, 0), 0));
-    assertThat(givenWay).extracting(WaitingRequest::request).containsExactly("new");
+    List<WaitingRequest<String>> evicted = queue.add(waiting("s2", "small", rank(5, 0), 9));
+    assertThat(evicted).extracting(WaitingRequest::request).containsExactly("flood99");
+    evicted = queue.add(waiting("new", "hot", rank(0, 0), 0));
+    assertThat(evicted).extracting(WaitingRequest::request).containsExactly("new");
     assertThat(queue.size()).isEqualTo(MAX_REQUESTS);
   }
 
@@ -116,7 +116,7 @@
     assertThat(queue.hasExpiredHold(5_000)).isFalse();
   }
 
-  /** Each step adds a request (its number tells tenant and rank), takes one or removes one. */
+  /** Each step adds a request, whose number determines tenant and rank, or takes or removes one. */
   @Property
   void losesAndDuplicatesNoRequest(@ForAll List<@IntRange(min = -40, max = 200) Integer> steps) {
     RequestQueue<String> bounded = new RequestQueue<>(8, 60);
@@ -129,7 +129,7 @@
         inside.add(name);
         bounded
             .add(new WaitingRequest<>(name, "t" + step % 4, rank, 0, step, step, step, 1 + step))
-            .forEach(given -> assertThat(inside.remove(given.request())).isTrue());
+            .forEach(evicted -> assertThat(inside.remove(evicted.request())).isTrue());
       } else if (step % 2 == 0) {
         bounded.poll().ifPresent(taken -> assertThat(inside.remove(taken.request())).isTrue());
       } else {
