--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchResultReads.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchResultReads.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads of results that wait for the first one; runs on the thread of the consensus duty. */
+/** Long-polling reads of batch results; confined to the consensus thread. */
 final class BatchResultReads {
   private static final int MAX_PENDING = 4_096;
 
@@ -26,49 +26,52 @@
     this.state = state;
   }
 
-  /** Answers a read now, or when there is a result or its time is over. */
+  /** Replies at once, or as soon as a result exists or the read times out. */
   void read(ReadBatchResults read, ReplySink reply, long nowMs) {
     group.readLinearizably(() -> answerOrWait(read, reply, nowMs), reply, nowMs);
   }
 
   private void answerOrWait(ReadBatchResults read, ReplySink reply, long nowMs) {
     QueryResult result = state.query(read);
-    boolean waits =
+    boolean mustWait =
         read.waitMs() > 0
             && result instanceof BatchResults results
             && results.results().isEmpty()
             && results.next() < results.total()
             && pending.size() < MAX_PENDING;
-    if (waits) {
+    if (mustWait) {
       pending.add(new PendingRead(read, nowMs + read.waitMs(), reply));
     } else {
       reply.reply(new QueryReply(result));
     }
   }
 
-  /** Answers the reads that waited long enough or for which there is a result. */
+  /**
+   * Replies to pending reads that have a result or timed out; to all if this store does not lead.
+   */
   void onStep(long nowMs) {
     if (pending.isEmpty()) {
       return;
     }
     List<PendingRead> due = pending.stream().filter(read -> isDue(read, nowMs)).toList();
     pending.removeAll(due);
-    for (PendingRead read : due) {
-      ReadBatchResults asked = read.read();
+    for (PendingRead pendingRead : due) {
+      ReadBatchResults request = pendingRead.read();
       read(
-          new ReadBatchResults(asked.jobId(), asked.tenant(), asked.from(), asked.maxBytes(), 0),
-          read.reply(),
+          new ReadBatchResults(
+              request.jobId(), request.tenant(), request.from(), request.maxBytes(), 0),
+          pendingRead.reply(),
           nowMs);
     }
   }
 
-  private boolean isDue(PendingRead read, long nowMs) {
+  private boolean isDue(PendingRead pendingRead, long nowMs) {
     boolean hasResult =
         state
-            .job(read.read().jobId())
+            .job(pendingRead.read().jobId())
             .map(BatchJob::results)
-            .map(results -> results.size() > read.read().from())
+            .map(results -> results.size() > pendingRead.read().from())
             .orElse(true);
-    return hasResult || nowMs >= read.deadlineMs() || !group.isLeading();
+    return hasResult || nowMs >= pendingRead.deadlineMs() || !group.isLeading();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
@@ -33,14 +33,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Runs the items of batch jobs on engines while this store leads the group; on the thread of the
- * consensus duty.
+ * Runs the items of batch jobs on engines while this store leads the group; confined to the
+ * consensus thread.
  *
- * <p>Only a committed result makes an item done. The events that running items bring are recorded
- * in the replicated state every {@value #RECORD_INTERVAL_MS} ms, so that a new leader goes on after
- * them. What runs where is known to the leader alone. Every proposal names the event that it
- * follows, and the state machine takes it only if that is the last recorded one; an item whose
- * proposal was not taken begins again from what is recorded.
+ * <p>An item is done only once its result is committed. Events of running items are recorded in the
+ * replicated state every {@value #RECORD_INTERVAL_MS} ms, so that a new leader resumes after them.
+ * Only the leader knows which item runs where. Every proposal names the event that it follows, and
+ * the state machine accepts it only if that is the last recorded one; an item whose proposal is
+ * rejected restarts after the recorded events.
  */
 final class BatchRunner {
   private static final long SCHEDULE_INTERVAL_MS = 20;
@@ -50,7 +50,7 @@
   private static final long MAX_RETRY_DELAY_MS = 2_000;
 
   /**
-   * An item under which engines end stays open until its age; this often it may have been freed.
+   * Interval at which a quarantined item is tried again until it expires, in case it was released.
    */
   private static final long QUARANTINE_RETRY_DELAY_MS = 2_000;
 
@@ -58,7 +58,9 @@
   private static final long GIVE_UP_MARGIN_MS = 500;
   private static final long RECORD_INTERVAL_MS = 700;
 
-  /** Over the time between two reports, so that an engine is not taken for free before the next. */
+  /**
+   * Longer than the report interval, so that an engine does not look free before its next report.
+   */
   private static final long REPORT_HALF_LIFE_MS = 500;
 
   private final GroupRuntime group;
@@ -81,8 +83,8 @@
   /**
    * Creates a runner.
    *
-   * @param engineListIsValid whether items may start by the list of engines, as far as its age goes
-   * @param consensus runs actions on the consensus duty's thread
+   * @param engineListIsValid whether the engine list is recent enough to start items
+   * @param consensus runs actions on the consensus thread
    */
   BatchRunner(
       GroupRuntime group,
@@ -92,34 +94,34 @@
       NettyEngineTransport transport,
       EngineProtocol protocol,
       EngineCrashReporter reporter,
-      EngineLoadBalancer choice,
+      EngineLoadBalancer loadBalancer,
       BooleanSupplier engineListIsValid,
       Executor consensus) {
     this.group = group;
     this.state = state;
     this.slack = new ItemSlack(state::timeMs);
-    this.scheduler = new ItemScheduler(engines, choice, slack);
+    this.scheduler = new ItemScheduler(engines, loadBalancer, slack);
     this.clock = clock;
     this.eventLoop = eventLoop;
-    EngineLivenessProbe liveness = new EngineLivenessProbe(eventLoop, transport, protocol);
+    EngineLivenessProbe livenessProbe = new EngineLivenessProbe(eventLoop, transport, protocol);
     this.transport =
         new QuarantiningTransport(
             transport,
-            liveness,
+            livenessProbe,
             reporter,
             eventLoop,
             engine -> consensus.execute(() -> engines.onDown(engine, clock.monotonicMs())));
     this.engineListIsValid = engineListIsValid;
     this.consensus = consensus;
-    EngineLoadClient reports =
+    EngineLoadClient loadClient =
         new EngineLoadClient(
             transport,
             protocol,
             (engineId, load) -> consensus.execute(() -> onReport(engineId, load)));
-    this.loadPolls = new LoadPolls(engine -> eventLoop.execute(() -> reports.fetch(engine)));
+    this.loadPolls = new LoadPolls(engine -> eventLoop.execute(() -> loadClient.fetch(engine)));
   }
 
-  /** Follows what is known of the fleet. */
+  /** Applies a changed view of the fleet. */
   void onChange(FleetView changed) {
     view = changed;
     eventLoop.execute(() -> transport.updateQuarantine(changed.quarantine()));
@@ -191,7 +193,7 @@
         ItemStream stream = run.stream();
         run.engine().onFailure(nowMs);
         if (stream.isOver()) {
-          // Its outcome was lost on the way to this thread.
+          // The stream has ended, but its outcome never reached this thread.
           stop(run);
           continue;
         }
@@ -202,39 +204,41 @@
 
   // ---- progress
 
-  /** Proposes what the items brought since the last time, and asks their sends for more. */
+  /** Proposes the events received since the last time, and requests newer ones from the streams. */
   private void recordProgress(long nowMs) {
     if (nowMs < nextRecordMs) {
       return;
     }
     nextRecordMs = nowMs + RECORD_INTERVAL_MS;
     List<BatchProgress> progress = new ArrayList<>();
-    List<ItemRun> concerned = new ArrayList<>();
+    List<ItemRun> affected = new ArrayList<>();
     for (ItemRun run : runs.all()) {
       run.takeUnrecorded()
           .ifPresent(
               events -> {
                 progress.add(events);
-                concerned.add(run);
+                affected.add(run);
               });
       if (run.isRunning()) {
         requestEvents(run);
       }
     }
     if (!progress.isEmpty()) {
-      propose(new RecordBatchProgress(progress), concerned);
+      propose(new RecordBatchProgress(progress), affected);
     }
   }
 
   private void requestEvents(ItemRun run) {
     ItemStream stream = run.stream();
-    long ofTerm = term;
+    long expectedTerm = term;
     eventLoop.execute(
-        () -> stream.drainEvents(events -> consensus.execute(() -> onEvents(run, ofTerm, events))));
+        () ->
+            stream.drainEvents(
+                events -> consensus.execute(() -> onEvents(run, expectedTerm, events))));
   }
 
-  private void onEvents(ItemRun run, long ofTerm, ItemEvents events) {
-    if (ofTerm != term) {
+  private void onEvents(ItemRun run, long expectedTerm, ItemEvents events) {
+    if (expectedTerm != term) {
       return;
     }
     if (!run.appendEvents(events)) {
@@ -250,7 +254,7 @@
     run.setRelativePace(engines.pace(engine.instance().service(), nowMs).relativePace(engine));
   }
 
-  /** Begins an item again from what is recorded. */
+  /** Restarts an item after its last recorded event. */
   private void restart(ItemRun run) {
     stop(run);
     runs.remove(run);
@@ -258,17 +262,18 @@
     ItemLog.restarted(run, recorded);
   }
 
-  /** Proposes a command about items; those of a command that is not taken begin again. */
-  private void propose(Command command, List<ItemRun> concerned) {
-    long ofTerm = term;
+  /** Proposes a command; restarts the affected items when it is rejected. */
+  private void propose(Command command, List<ItemRun> affected) {
+    long expectedTerm = term;
     group.propose(
         "",
         0,
         command,
         reply -> {
-          boolean taken = reply instanceof ProposeReply done && done.result() instanceof Done;
-          if (!taken && ofTerm == term) {
-            concerned.forEach(this::restart);
+          boolean accepted =
+              reply instanceof ProposeReply proposed && proposed.result() instanceof Done;
+          if (!accepted && expectedTerm == term) {
+            affected.forEach(this::restart);
           }
         },
         clock);
@@ -290,12 +295,12 @@
   private void startOn(ItemRun run, EngineState engine, double relativePace) {
     long nowMs = clock.monotonicMs();
     long slackMs = slack.slackMs(run, relativePace, nowMs);
-    long ofTerm = term;
+    long expectedTerm = term;
     ItemStream[] started = new ItemStream[1];
     ItemStream stream =
         new ItemStream(
             run.lastEvent(),
-            outcome -> consensus.execute(() -> onOutcome(run, started[0], ofTerm, outcome)));
+            outcome -> consensus.execute(() -> onOutcome(run, started[0], expectedTerm, outcome)));
     started[0] = stream;
     ItemLog.started(run, engine, relativePace, run.dueMs() - state.timeMs(), slackMs, nowMs);
     run.onStart(stream, engine, relativePace, nowMs);
@@ -322,13 +327,13 @@
 
   // ---- outcomes
 
-  private void onOutcome(ItemRun run, ItemStream stream, long ofTerm, ItemOutcome outcome) {
-    if (ofTerm != term || run.stream() != stream) {
+  private void onOutcome(ItemRun run, ItemStream stream, long expectedTerm, ItemOutcome outcome) {
+    if (expectedTerm != term || run.stream() != stream) {
       return;
     }
     long nowMs = clock.monotonicMs();
     EngineState engine = run.engine();
-    long tookMs = run.attemptMs(nowMs);
+    long attemptMs = run.attemptMs(nowMs);
     engine.onEnd();
     run.onStop(nowMs);
     if (!run.appendEvents(outcome.events())) {
@@ -336,7 +341,7 @@
       return;
     }
     if (outcome.kind() != ItemOutcome.Kind.DONE) {
-      ItemLog.retried(run, engine, outcome, tookMs);
+      ItemLog.retried(run, engine, outcome, attemptMs);
     }
     switch (outcome.kind()) {
       case DONE -> onItemCompleted(run, nowMs);
@@ -362,9 +367,12 @@
     }
   }
 
-  /** Grows with each such answer, so that an item that gets no other does not keep engines busy. */
-  private static long unclearRetryDelayMs(int answers) {
-    int doublings = Math.min(answers, MAX_DOUBLINGS);
+  /**
+   * Doubles with each unclear response, so that an item that gets no other one does not occupy
+   * engines all the time.
+   */
+  private static long unclearRetryDelayMs(int unclearResponses) {
+    int doublings = Math.min(unclearResponses, MAX_DOUBLINGS);
     return Math.min(RETRY_DELAY_MS << doublings, MAX_RETRY_DELAY_MS);
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemLog.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemLog.java
@@ -5,7 +5,7 @@
 import io.pathdeck.fleet.engine.EngineState;
 import java.util.Locale;
 
-/** The log lines about items of batch jobs. */
+/** Logs the events of batch items. */
 final class ItemLog {
   private static final EventLog EVENTS = EventLog.of(ItemLog.class);
 
@@ -35,20 +35,25 @@
         slackMs);
   }
 
-  /** Tells that a send ended without the whole item. */
-  static void retried(ItemRun run, EngineState engine, ItemOutcome outcome, long tookMs) {
+  /** Logs an attempt that ended before the item was complete. */
+  static void retried(ItemRun run, EngineState engine, ItemOutcome outcome, long attemptMs) {
     String engineId = engine.instance().id();
     long lastEvent = outcome.events().lastEvent();
-    retried(run, engineId, outcome.kind().name(), outcome.reason(), tookMs, lastEvent);
+    retried(run, engineId, outcome.kind().name(), outcome.reason(), attemptMs, lastEvent);
   }
 
-  /** Tells that what an item brought was not recorded, so that it begins again. */
+  /** Logs an item that restarts because its events were not recorded. */
   static void restarted(ItemRun run, long recordedEvent) {
     retried(run, "", "RESTARTED", "what it brought was not recorded", 0, recordedEvent);
   }
 
   private static void retried(
-      ItemRun run, String engineId, String outcome, String reason, long tookMs, long afterEvent) {
+      ItemRun run,
+      String engineId,
+      String outcome,
+      String reason,
+      long attemptMs,
+      long afterEvent) {
     EVENTS.log(
         EventCode.ITEM_RETRIED,
         "job",
@@ -64,7 +69,7 @@
         "failures",
         run.failures(),
         "took_ms",
-        tookMs,
+        attemptMs,
         "after_event",
         afterEvent);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemOutcome.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemOutcome.java
@@ -1,33 +1,31 @@
 package io.pathdeck.fleet.store;
 
 /**
- * How one send of an item to an engine ended.
+ * How an attempt to run an item on an engine ended.
  *
- * @param kind what happened
- * @param events what the send brought and has not handed over before
- * @param retryAfterMs when the engine may be asked again
+ * @param events the events that were not drained before
+ * @param retryAfterMs delay before the engine may be called again
  */
 record ItemOutcome(Kind kind, ItemEvents events, long retryAfterMs, String reason) {
 
-  /** What happened. */
   enum Kind {
-    /** The stream is whole. */
+    /** The response is complete. */
     DONE,
     /** The engine did not run the item. */
     REFUSED,
-    /** Another engine has the address. */
+    /** The address now belongs to another engine instance. */
     OTHER_INSTANCE,
-    /** The engine tried and failed. */
+    /** The engine ran the item and failed. */
     FAILED,
-    /** The engine's answer proves neither a failed attempt nor that the item did not run. */
+    /** The response shows neither a failed attempt nor that the item did not run. */
     UNCLEAR,
-    /** The item can never be done. */
+    /** The item can never succeed. */
     IMPOSSIBLE,
-    /** Engines end under the item, so it was not sent. */
+    /** The item is quarantined because engines exit while they run it; it was not sent. */
     QUARANTINED,
-    /** The stream broke off. */
+    /** The stream ended early. */
     BROKEN,
-    /** The send was given up to make room for online requests. */
+    /** The attempt was canceled to free a slot for online requests, or to move the item. */
     YIELDED
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
@@ -11,10 +11,10 @@
 import java.util.Optional;
 
 /**
- * What the leader knows of an item that has no result yet; confined to the consensus thread.
+ * The leader's state of an item that has no result yet; confined to the consensus thread.
  *
- * <p>It begins after the events that are recorded in the replicated state. What further sends bring
- * is kept here until it is proposed, in the order in which it came.
+ * <p>It starts after the events that are recorded in the replicated state. Later events are kept
+ * here, in order, until they are proposed.
  */
 final class ItemRun {
   final BatchJob job;
@@ -33,12 +33,12 @@
   private long startedMs;
   private boolean finished;
 
-  /** The send under way and its engine; null when there is none. */
+  /** The current attempt and its engine; null if the item does not run. */
   private ItemStream stream;
 
   private EngineState engine;
 
-  /** How many times as long as usual work takes at the engine of the send under way. */
+  /** Work takes this many times as long on the current engine as on one of median pace. */
   private double relativePace = 1;
 
   private long paceSampleEvent;
@@ -47,8 +47,8 @@
   /**
    * Creates the run of an item.
    *
-   * @param nowMs since when this store knows the item as leader, by its monotonic clock
-   * @param logTimeMs the time of the log then
+   * @param nowMs when this leader first saw the item, by its monotonic clock
+   * @param logTimeMs the log time at that moment
    */
   ItemRun(BatchJob job, BatchItem item, long nowMs, long logTimeMs) {
     this.job = job;
@@ -61,7 +61,7 @@
     this.inheritedEvents = recordedEvent - BatchProgress.NO_EVENT;
   }
 
-  /** When the item is due, in the time of the log. */
+  /** When the item is due, in log time. */
   long dueMs() {
     return job.submittedAtMs() + job.submission().runTargetMs();
   }
@@ -82,10 +82,10 @@
     return engine;
   }
 
-  void onStart(ItemStream started, EngineState on, double relativePaceThere, long nowMs) {
-    stream = started;
-    engine = on;
-    relativePace = relativePaceThere;
+  void onStart(ItemStream newStream, EngineState newEngine, double newRelativePace, long nowMs) {
+    stream = newStream;
+    engine = newEngine;
+    relativePace = newRelativePace;
     startedMs = nowMs;
     paceSampleEvent = lastEvent;
   }
@@ -98,21 +98,23 @@
   }
 
   /**
-   * For how long sends of the item were under way since this store leads. Time at a slow engine
-   * counts as what a usual one would have taken for the same work.
+   * For how long attempts have run since this store leads. Time on a slow engine counts as what one
+   * of median pace would have taken for the same work.
    */
   long normalizedRunMs(long nowMs) {
     return normalizedRunMs + (stream == null ? 0 : Math.round((nowMs - startedMs) / relativePace));
   }
 
-  /** How many times as long as usual work takes where the item runs; 1 when it does not run. */
+  /**
+   * How many times as long work takes on the current engine as on one of median pace; 1 if there is
+   * none.
+   */
   double relativePace() {
     return relativePace;
   }
 
-  /** What is known of the pace where the item runs has changed. */
-  void setRelativePace(double relativePaceThere) {
-    relativePace = relativePaceThere;
+  void setRelativePace(double newRelativePace) {
+    relativePace = newRelativePace;
   }
 
   private void reportMomentaryPace() {
@@ -122,23 +124,23 @@
     }
   }
 
-  /** Hears in which time a usual engine would have brought events. */
+  /** Receives the time that an engine of median pace would have taken for some events. */
   interface EventTimeListener {
-    void onEvents(long events, long usualMs);
+    void onEvents(long events, long normalizedMs);
   }
 
   /**
-   * The events that were recorded before this store knew the item as leader. Without them an item
-   * that is nearly whole would look as if all of it were left, and urgent, after each change of the
-   * leader.
+   * The number of events recorded before this run began. Without them an item that is nearly
+   * complete would look urgent after each change of leader.
    */
   long inheritedEvents() {
     return inheritedEvents;
   }
 
   /**
-   * Tells the engine's pace and {@code eventTimes} the events since the last time. The first events
-   * of a send only begin a span, because the item waited and its prompt was read before them.
+   * Reports the events since the last call to the engine's pace and to {@code eventTimes}. The
+   * first events of an attempt only start a sample, because the time before them includes queueing
+   * and prefill.
    */
   void reportPace(long nowMs, EventTimeListener eventTimes) {
     if (engine == null || lastEvent <= paceSampleEvent) {
@@ -161,7 +163,7 @@
     return startedAtFirstEvent;
   }
 
-  /** Keeps events of a send; returns false when they do not follow those that are held. */
+  /** Appends events; returns false if they do not follow the last known event. */
   boolean appendEvents(ItemEvents events) {
     if (events.isEmpty()) {
       return true;
@@ -178,7 +180,7 @@
     return lastEvent;
   }
 
-  /** The events that were not proposed yet; from now on they count as recorded. */
+  /** Takes the events that were not proposed yet; from then on they count as recorded. */
   Optional<BatchProgress> takeUnrecorded() {
     if (lastEvent == recordedEvent || finished) {
       return Optional.empty();
@@ -191,38 +193,36 @@
     return Optional.of(progress);
   }
 
-  /** The outcome of the whole item; nothing more is sent. */
+  /** Returns the outcome of the completed item; it does not run again. */
   BatchOutcome finishCompleted() {
     finished = true;
     return new BatchOutcome(item.id(), true, recordedEvent, unrecordedText);
   }
 
-  /** The outcome of an item that is given up; nothing more is sent. */
+  /** Returns the outcome of an item that is given up; it does not run again. */
   BatchOutcome finishGivenUp() {
     finished = true;
     return BatchOutcome.givenUp(item.id());
   }
 
-  /** For how long this store has known the item as leader. */
+  /** How long this leader has known the item. */
   long knownMs(long nowMs) {
     return nowMs - knownSinceMs;
   }
 
   /**
-   * The time that has passed since the submission at least. The time of the log runs ahead while it
-   * catches up after an outage: after one of 4 s, an item that may be given up after 3 s was given
-   * up after 2.2 s by it.
+   * A lower bound of the time since submission. Log time runs too fast while it catches up after an
+   * outage; an age by log time alone would give items up too early.
    */
   long minAgeMs(long nowMs) {
     return minAgeWhenKnownMs + knownMs(nowMs);
   }
 
-  /** For how long the send under way has run. */
+  /** How long the current attempt has run. */
   long attemptMs(long nowMs) {
     return stream == null ? 0 : nowMs - startedMs;
   }
 
-  /** How many attempts failed. */
   int failures() {
     return failures;
   }
@@ -231,7 +231,7 @@
     return ++failures;
   }
 
-  /** Counts an answer that proves nothing, and returns how many there were. */
+  /** Counts an unclear response and returns their number so far. */
   int countUnclearResponse() {
     return ++unclearAnswers;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRuns.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRuns.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The items that have no result yet, one run for each; confined to the consensus thread. */
+/** The runs of all items that have no result yet; confined to the consensus thread. */
 final class ItemRuns {
   private record ItemKey(String jobId, String itemId) {}
 
@@ -18,22 +18,22 @@
     return new ItemKey(run.job.submission().jobId(), run.item.id());
   }
 
-  /** All runs; not to be kept over a change. */
+  /** A live view of all runs; see {@link #copy} for loops that remove some. */
   Collection<ItemRun> all() {
     return runs.values();
   }
 
-  /** A copy of all runs, for actions that may remove some. */
+  /** A copy of all runs. */
   List<ItemRun> copy() {
     return List.copyOf(runs.values());
   }
 
   /**
-   * Follows the jobs: begins a run for each open item, and forgets those that have a result or
-   * whose job was ended after giving them to {@code onOver}.
+   * Adds a run for each open item, and removes those of items that have a result or whose job has
+   * ended, after passing them to {@code onRemoved}.
    */
-  void update(Collection<BatchJob> jobs, Consumer<ItemRun> onOver, long nowMs, long logTimeMs) {
-    runs.values().removeIf(run -> isOver(run, onOver));
+  void update(Collection<BatchJob> jobs, Consumer<ItemRun> onRemoved, long nowMs, long logTimeMs) {
+    runs.values().removeIf(run -> isOver(run, onRemoved));
     for (BatchJob job : jobs) {
       if (job.isActive()) {
         job.openItems().values().forEach(item -> addIfAbsent(job, item, nowMs, logTimeMs));
@@ -41,10 +41,10 @@
     }
   }
 
-  private static boolean isOver(ItemRun run, Consumer<ItemRun> onOver) {
+  private static boolean isOver(ItemRun run, Consumer<ItemRun> onRemoved) {
     boolean over = run.job.isEnded() || !run.job.openItems().containsKey(run.item.id());
     if (over) {
-      onOver.accept(run);
+      onRemoved.accept(run);
     }
     return over;
   }
@@ -54,7 +54,7 @@
     runs.computeIfAbsent(key, absent -> new ItemRun(job, item, nowMs, logTimeMs));
   }
 
-  /** Forgets a run; the item begins a new one with the next {@link #update}. */
+  /** Removes a run; the next {@link #update} adds a new one for the item. */
   void remove(ItemRun run) {
     runs.remove(key(run), run);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
@@ -21,17 +21,17 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Decides which items start on which engines, and which make room again; without a network and
- * confined to the consensus thread.
+ * Decides which items start on which engines and which items yield; performs no I/O and is confined
+ * to the consensus thread.
  */
 final class ItemScheduler {
   /**
-   * So many items are looked at in a step for which only engines have room that are too slow; those
-   * behind them have more time, but looking at all of a long queue costs processor time.
+   * How many items per step may find only engines that are too slow for them. Those behind them
+   * have more slack, and examining all of a long queue costs processor time.
    */
   private static final int MAX_UNPLACED = 8;
 
-  /** Sends an item to the engine that was chosen for it. */
+  /** Starts an item on the engine that was chosen for it. */
   interface Starter {
     void start(ItemRun run, EngineState engine, double relativePace);
   }
@@ -43,20 +43,19 @@
   private final TrafficSplit split = new TrafficSplit();
   private long leaderSinceMs;
 
-  ItemScheduler(EngineTable engines, EngineLoadBalancer choice, ItemSlack slack) {
+  ItemScheduler(EngineTable engines, EngineLoadBalancer loadBalancer, ItemSlack slack) {
     this.engines = engines;
-    this.loadBalancer = choice;
+    this.loadBalancer = loadBalancer;
     this.slack = slack;
   }
 
-  /** This store began to lead its group. */
   void setLeaderSince(long nowMs) {
     leaderSinceMs = nowMs;
   }
 
   // ---- starts
 
-  /** Starts those of the items that may start and find room, in their order. */
+  /** Starts the items that may start and find a free slot, in order of urgency. */
   void startItems(Collection<ItemRun> runs, FleetView view, Starter starter, long nowMs) {
     Set<String> fullServices = new HashSet<>();
     int unplaced = 0;
@@ -71,10 +70,10 @@
         continue;
       }
       ServicePace pace = paces.computeIfAbsent(service, name -> engines.pace(name, nowMs));
-      List<EngineState> open = availableEngines(service, view, nowMs);
-      ItemStartResult start = startItem(run, open, pace, starter, nowMs);
-      unplaced += start == ItemStartResult.NO_ENGINE_FAST_ENOUGH ? 1 : 0;
-      if (start == ItemStartResult.NO_FREE_SLOT || unplaced > MAX_UNPLACED) {
+      List<EngineState> available = availableEngines(service, view, nowMs);
+      ItemStartResult result = startItem(run, available, pace, starter, nowMs);
+      unplaced += result == ItemStartResult.NO_ENGINE_FAST_ENOUGH ? 1 : 0;
+      if (result == ItemStartResult.NO_FREE_SLOT || unplaced > MAX_UNPLACED) {
         fullServices.add(service);
       }
     }
@@ -95,23 +94,23 @@
   private List<EngineState> availableEngines(String service, FleetView view, long nowMs) {
     int groups = Math.max(1, view.jobsFounders().size());
     long leadingForMs = nowMs - leaderSinceMs;
-    double part = slotPolicy.rampUpShare(leadingForMs) / groups;
+    double share = slotPolicy.rampUpShare(leadingForMs) / groups;
     return engines.usable(service, Set.of(), nowMs).stream()
         .filter(engine -> slotPolicy.isLoadKnown(engine, leadingForMs, nowMs))
-        .filter(engine -> slotPolicy.hasFreeSlot(engine, part, nowMs))
+        .filter(engine -> slotPolicy.hasFreeSlot(engine, share, nowMs))
         .toList();
   }
 
-  /** Starts an item where it is best placed. */
+  /** Starts an item on the most suitable engine. */
   private ItemStartResult startItem(
-      ItemRun run, List<EngineState> open, ServicePace pace, Starter starter, long nowMs) {
-    if (open.isEmpty()) {
+      ItemRun run, List<EngineState> available, ServicePace pace, Starter starter, long nowMs) {
+    if (available.isEmpty()) {
       return ItemStartResult.NO_FREE_SLOT;
     }
     ItemUrgency urgency = slack.urgency(run, nowMs);
     ToLongFunction<EngineState> slackAt =
         engine -> slack.slackMs(run, pace.relativePace(engine), nowMs);
-    List<EngineState> preferred = ItemPlacement.candidates(open, pace, urgency, slackAt);
+    List<EngineState> preferred = ItemPlacement.candidates(available, pace, urgency, slackAt);
     Optional<Placement> chosen = loadBalancer.choose(preferred, pace, Prompt.UNKNOWN, nowMs);
     if (chosen.isEmpty()) {
       return ItemStartResult.NO_ENGINE_FAST_ENOUGH;
@@ -123,7 +122,7 @@
 
   // ---- stops
 
-  /** The items that make room on an engine whose report has just come, to be stopped at once. */
+  /** The items to stop at once on an engine whose load report has just arrived. */
   List<ItemRun> itemsToYield(
       Collection<ItemRun> runs, EngineState engine, EngineLoadReport load, long nowMs) {
     boolean slow = engines.pace(engine.instance().service(), nowMs).isSlow(engine);
@@ -135,8 +134,8 @@
   }
 
   /**
-   * An item that cannot be done in time where it runs but can elsewhere, when an engine that is not
-   * slow has room; one at a time, so that the room is taken before the next one is stopped.
+   * An item that will be late where it runs but can be on time elsewhere, if an engine that is not
+   * slow has a free slot. One at a time, so that the slot is taken before the next item is stopped.
    */
   Optional<ItemRun> itemToMove(Collection<ItemRun> runs, FleetView view, long nowMs) {
     return runs.stream()
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemStartResult.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemStartResult.java
@@ -1,9 +1,9 @@
 package io.pathdeck.fleet.store;
 
-/** What became of an item that was to start. */
+/** The result of trying to start an item. */
 enum ItemStartResult {
   STARTED,
-  /** The engines with room are too slow for the item; others may start there. */
+  /** The engines with a free slot are too slow for this item; others may start there. */
   NO_ENGINE_FAST_ENOUGH,
   NO_FREE_SLOT
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
@@ -12,7 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * Collects the answer to one send of an item; confined to the event loop but for the heard time.
+ * Collects the response to one attempt to run an item; confined to the event loop except where
+ * noted.
  */
 final class ItemStream implements EngineListener {
   private static final int SUCCESS_FROM = 200;
@@ -49,7 +50,7 @@
     }
   }
 
-  /** Gives the send up without an outcome. */
+  /** Cancels the attempt without an outcome. */
   void cancel() {
     over = true;
     if (handle != null) {
@@ -57,17 +58,17 @@
     }
   }
 
-  /** Gives the send up as broken, so that the item goes on elsewhere. */
+  /** Cancels the attempt as broken, so that the item resumes elsewhere. */
   void abort(String reason) {
     cancelAndFinish(ItemOutcome.Kind.BROKEN, reason);
   }
 
-  /** Gives the send up to make room; the item goes on later where it stopped. */
+  /** Cancels the attempt to free its slot; the item resumes later after its last event. */
   void yieldSlot() {
     cancelAndFinish(ItemOutcome.Kind.YIELDED, "room for online requests");
   }
 
-  /** Gives the send up because the item would be late here; it goes on elsewhere. */
+  /** Cancels the attempt because the item would be late here; it resumes elsewhere. */
   void leaveEngine() {
     cancelAndFinish(ItemOutcome.Kind.YIELDED, "too slow to be in time");
   }
@@ -81,7 +82,7 @@
     }
   }
 
-  /** Hands the whole events of a running send over that were not handed over before. */
+  /** Passes on the complete events of a running attempt that were not drained before. */
   void drainEvents(Consumer<ItemEvents> receiver) {
     ItemEvents events = over ? null : takeEvents();
     if (events != null && !events.isEmpty()) {
@@ -97,22 +98,22 @@
     return new ItemEvents(afterEvent, lastDrainedEvent, text);
   }
 
-  /** Whether the send has ended; may be read from any thread. */
+  /** Whether the attempt has ended; safe from any thread. */
   boolean isOver() {
     return over;
   }
 
-  /** When something was last heard of the send; may be read from any thread. */
+  /** When the attempt began or last received something; safe from any thread. */
   long lastReceivedMs() {
     return lastReceivedMs;
   }
 
-  /** The engine's load when the answer began; null when not told; may be read from any thread. */
+  /** The engine's load when the response began; null if not reported; safe from any thread. */
   EngineLoadReport load() {
     return load;
   }
 
-  /** When the answer began; may be read from any thread. */
+  /** When the response began; safe from any thread. */
   long headReceivedMs() {
     return headReceivedMs;
   }
@@ -130,12 +131,12 @@
   }
 
   @Override
-  public void onBody(byte[] part) {
+  public void onBody(byte[] chunk) {
     lastReceivedMs = nowMs();
     if (over || !isSuccess()) {
       return;
     }
-    collected.writeBytes(scanner.feed(part));
+    collected.writeBytes(scanner.feed(chunk));
     if (scanner.problem() != null) {
       abort(scanner.problem());
     }
@@ -147,8 +148,8 @@
       return;
     }
     if (isSuccess()) {
-      boolean whole = !scanner.hasPartialEvent();
-      finish(whole ? ItemOutcome.Kind.DONE : ItemOutcome.Kind.BROKEN, "ended");
+      boolean complete = !scanner.hasPartialEvent();
+      finish(complete ? ItemOutcome.Kind.DONE : ItemOutcome.Kind.BROKEN, "ended");
     } else if (response.wrongInstance()) {
       finish(ItemOutcome.Kind.OTHER_INSTANCE, "another engine");
     } else if (response.notRun()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemUrgency.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemUrgency.java
@@ -1,24 +1,24 @@
 package io.pathdeck.fleet.store;
 
-/** How soon an item must run; the order is the one in which waiting items start. */
+/** How soon an item must run; waiting items start in this order. */
 enum ItemUrgency {
-  /** Can be done when it is due, but not if it waits any longer. */
+  /** Can be on time, but only if it starts soon. */
   URGENT,
-  /** Can wait and still be done when it is due. */
+  /** Can wait and still be on time. */
   DEFERRABLE,
   /**
-   * Cannot be done when it is due any more. Its result is still wanted, but nobody gains when items
-   * that can be in time, or online requests, wait for it.
+   * Cannot be on time any more. Its result is still wanted, but must not delay online requests or
+   * items that can be on time.
    */
   LATE;
 
-  /** With less than this to spare an item is urgent: a few stops and the way to other engines. */
+  /** Items with less slack are urgent. Covers a few stops and moves to other engines. */
   private static final long URGENT_SLACK_MS = 4_000;
 
   /**
-   * The urgency of an item.
+   * Returns the urgency of an item.
    *
-   * @param slackMs for how long the item can wait and still be done when it is due
+   * @param slackMs how long the item can wait and still be on time
    */
   static ItemUrgency of(long slackMs) {
     if (slackMs < 0) {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobSubmissions.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobSubmissions.java
@@ -14,17 +14,17 @@
 import java.util.Map;
 
 /**
- * Takes batch jobs into the log of their group, each once; on the thread of the consensus duty.
+ * Appends each batch job to the log of its group once; confined to the consensus thread.
  *
- * <p>Callers and gateways send a job again when its answer is late. A job that is already in the
- * log is not appended again: it would be replicated once more just when the group is slow.
+ * <p>Callers and gateways send a job again when the reply is late. A job that is already in the log
+ * is not appended again, because that would add replication load just when the group is slow.
  */
 final class JobSubmissions {
   private final GroupRuntime group;
   private final BatchStateMachine state;
   private final ControllerClock clock;
 
-  /** Who waits for the outcome of each job that is in the log but not applied yet. */
+  /** The waiting replies for each job that is in the log but not applied yet. */
   private final Map<String, List<ReplySink>> pendingReplies = new HashMap<>();
 
   JobSubmissions(GroupRuntime group, BatchStateMachine state, ControllerClock clock) {
@@ -35,9 +35,9 @@
 
   void submit(SubmitBatch submission, ReplySink reply) {
     String jobId = submission.jobId();
-    List<ReplySink> waiting = pendingReplies.get(jobId);
-    if (waiting != null) {
-      waiting.add(reply);
+    List<ReplySink> replies = pendingReplies.get(jobId);
+    if (replies != null) {
+      replies.add(reply);
     } else if (state.job(jobId).isPresent()) {
       ProposeReply accepted = new ProposeReply(new BatchAccepted(jobId));
       group.readLinearizably(() -> reply.reply(accepted), reply, clock.monotonicMs());
@@ -47,12 +47,12 @@
   }
 
   private void propose(SubmitBatch submission, ReplySink reply) {
-    List<ReplySink> waiting = new ArrayList<>(List.of(reply));
-    pendingReplies.put(submission.jobId(), waiting);
-    group.propose("", 0, submission, answer -> completeReplies(submission.jobId(), answer), clock);
+    List<ReplySink> replies = new ArrayList<>(List.of(reply));
+    pendingReplies.put(submission.jobId(), replies);
+    group.propose("", 0, submission, result -> completeReplies(submission.jobId(), result), clock);
   }
 
-  private void completeReplies(String jobId, Message answer) {
-    pendingReplies.remove(jobId).forEach(reply -> reply.reply(answer));
+  private void completeReplies(String jobId, Message result) {
+    pendingReplies.remove(jobId).forEach(reply -> reply.reply(result));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
@@ -35,9 +35,12 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 
-/** A store's replica of the one group of batch jobs that it keeps; runs items while it leads. */
+/** A store's replica of its group of batch jobs; runs items while it leads the group. */
 final class JobsReplica implements AutoCloseable {
-  /** The answer to a call about a group that the store does not keep: ask another member. */
+  /**
+   * The reply to a call for a group that the store does not keep, so that the caller asks another
+   * member.
+   */
   static final NotLeader NOT_A_MEMBER = new NotLeader(RecoveredState.NO_REPLICA, "");
 
   private static final long SNAPSHOT_THRESHOLD_BYTES = 16L * 1024 * 1024;
@@ -59,7 +62,7 @@
       PeerPool pool,
       EventLoop eventLoop,
       String zone,
-      EngineProtocol engines,
+      EngineProtocol protocol,
       EngineCrashReporter reporter,
       BooleanSupplier engineListIsValid) {
     this.number = number;
@@ -73,8 +76,8 @@
             state,
             host.clock(),
             eventLoop,
-            new NettyEngineTransport(eventLoop, engines),
-            engines,
+            new NettyEngineTransport(eventLoop, protocol),
+            protocol,
             reporter,
             new EngineLoadBalancer(zone, System.nanoTime()),
             engineListIsValid,
@@ -88,7 +91,7 @@
       DataFolder folder,
       PeerPool pool,
       EventLoop eventLoop,
-      EngineProtocol engines,
+      EngineProtocol protocol,
       EngineCrashReporter reporter,
       BooleanSupplier engineListIsValid) {
     BatchStateMachine state = new BatchStateMachine();
@@ -102,7 +105,7 @@
                     pool,
                     eventLoop,
                     fleet.zone(),
-                    engines,
+                    protocol,
                     reporter,
                     engineListIsValid));
   }
@@ -116,7 +119,7 @@
         number, MemberIds.of(address), join, state, SNAPSHOT_THRESHOLD_BYTES, MAX_SEGMENT_BYTES);
   }
 
-  /** Starts to take part in the group. */
+  /** Starts taking part in the group. */
   void start() {
     resources.push(host);
     host.start(
@@ -127,17 +130,16 @@
         });
   }
 
-  /** The number of the group. */
   int number() {
     return number;
   }
 
-  /** A view of the replica for other threads. */
+  /** The replica's status; safe from any thread. */
   ControllerStatus status() {
     return host.status();
   }
 
-  /** What this store says of the group while it leads; null when it does not. */
+  /** The report of this store on the group; null unless it leads. */
   JobsGroupReport report() {
     return report;
   }
@@ -158,7 +160,7 @@
     }
   }
 
-  /** Follows what is known of the fleet; on any thread. */
+  /** Applies a changed view of the fleet; safe from any thread. */
   void onChange(FleetView view) {
     Set<Member> members = view.knownMembersOf(number);
     members.forEach(member -> pool.learn(member.id(), member.address()));
@@ -174,7 +176,7 @@
     runner.onChange(view);
   }
 
-  /** Handles a message of another process. */
+  /** Handles a message from another process. */
   void handle(Message message, ReplySink reply) {
     if (isForAnotherGroup(message)) {
       reply.reply(NOT_A_MEMBER);
@@ -202,7 +204,7 @@
     }
   }
 
-  /** Hands leadership of the group over, if this store has it. */
+  /** Transfers leadership of the group to another store if this one leads. */
   void transferLeadership() {
     host.transferLeadership();
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/LoadPolls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/LoadPolls.java
@@ -6,12 +6,12 @@
 import java.util.function.Consumer;
 
 /**
- * When engines are asked for their load: while batch items wait or run, what online requests take
- * of the engines must be known. Confined to the consensus thread.
+ * Polls engines for their load: while batch items wait or run, the load of online requests must be
+ * known. Confined to the consensus thread.
  *
- * <p>Engines that run items are asked more often than the others: until a report shows that a
- * request waits, no item makes room for it, and half of a usual objective of callers of 300 ms is
- * what a request can wait for the report, its way and the stop.
+ * <p>Engines that run items are polled more often, because an item yields only once a report shows
+ * a waiting request. Of a typical latency target of 300 ms, half is left for the poll interval, the
+ * transfer of the report and the stop.
  */
 final class LoadPolls {
   static final long BUSY_INTERVAL_MS = 100;
@@ -21,25 +21,24 @@
   private long nextBusyPollMs;
   private long nextIdlePollMs;
 
-  /** Asks engines by {@code ask}. */
-  LoadPolls(Consumer<EngineInstance> ask) {
-    this.requestReport = ask;
+  LoadPolls(Consumer<EngineInstance> requestReport) {
+    this.requestReport = requestReport;
   }
 
-  /** Asks those engines whose turn it is; those without items only while {@code itemsWait}. */
+  /** Polls the engines that are due; those without items only while {@code itemsWait}. */
   void onStep(Collection<EngineState> engines, boolean itemsWait, long nowMs) {
-    boolean running = nowMs >= nextBusyPollMs;
-    boolean others = itemsWait && nowMs >= nextIdlePollMs;
+    boolean busyDue = nowMs >= nextBusyPollMs;
+    boolean idleDue = itemsWait && nowMs >= nextIdlePollMs;
     for (EngineState engine : engines) {
-      boolean isDue = engine.inFlight() > 0 ? running : others;
+      boolean isDue = engine.inFlight() > 0 ? busyDue : idleDue;
       if (isDue && !engine.isOutOfService(nowMs)) {
         requestReport.accept(engine.instance());
       }
     }
-    if (running) {
+    if (busyDue) {
       nextBusyPollMs = nowMs + BUSY_INTERVAL_MS;
     }
-    if (others) {
+    if (idleDue) {
       nextIdlePollMs = nowMs + IDLE_INTERVAL_MS;
     }
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
@@ -32,10 +32,10 @@
 import java.util.List;
 
 /**
- * A store: keeps one group of batch jobs and, while it leads that group, runs its items.
+ * A store: keeps one group of batch jobs and runs the group's items while it leads.
  *
- * <p>The coordinators tell a new store which group that is. Its number is written to the disk
- * before anything of the group, so that a disk never holds parts of two groups.
+ * <p>The coordinators assign the group to a new store. The group's number is written to disk before
+ * any of its data, so that a disk never holds parts of two groups.
  */
 public final class StoreProcess implements FleetMemberProcess {
   private static final EventLog EVENTS = EventLog.of(StoreProcess.class);
@@ -119,7 +119,7 @@
   private FleetFollower.SelfReport selfReport(boolean mayFound) {
     FleetSettings fleet = settings.fleet();
     String address = fleet.listen().toString();
-    JobsReplica own = replica;
+    JobsReplica current = replica;
     FleetProcess self =
         new FleetProcess(
             fleet.name(),
@@ -131,22 +131,22 @@
             "",
             true,
             groupNumber());
-    return new FleetFollower.SelfReport(self, mayFound, own == null ? null : own.report());
+    return new FleetFollower.SelfReport(self, mayFound, current == null ? null : current.report());
   }
 
   private int groupNumber() {
-    JobsReplica own = replica;
-    return own == null ? FleetProcess.NO_GROUP : own.number();
+    JobsReplica current = replica;
+    return current == null ? FleetProcess.NO_GROUP : current.number();
   }
 
   private ControllerStatus status() {
-    JobsReplica own = replica;
-    return own == null ? new ControllerStatus(List.of()) : own.status();
+    JobsReplica current = replica;
+    return current == null ? new ControllerStatus(List.of()) : current.status();
   }
 
   // ---- the group
 
-  /** Opens the replica of the group that an earlier process of this disk kept. */
+  /** Opens the replica of the group that is recorded on this disk, if any. */
   private Result<Void, StorageError> recoverReplica() {
     if (!Files.exists(folder.path().resolve(JOBS_GROUP_FILE))) {
       return Result.ok(null);
@@ -181,9 +181,9 @@
     if (replica == null && view.assignedGroup() != FleetProcess.NO_GROUP) {
       joinGroup(view.assignedGroup());
     }
-    JobsReplica own = replica;
-    if (own != null) {
-      own.onChange(view);
+    JobsReplica current = replica;
+    if (current != null) {
+      current.onChange(view);
     }
   }
 
@@ -201,9 +201,9 @@
   }
 
   private void route(Message message, ReplySink reply) {
-    JobsReplica own = replica;
-    if (own != null) {
-      own.handle(message, reply);
+    JobsReplica current = replica;
+    if (current != null) {
+      current.handle(message, reply);
     } else if (message instanceof ProposeRequest || message instanceof QueryRequest) {
       reply.reply(JobsReplica.NOT_A_MEMBER);
     }
@@ -215,13 +215,13 @@
     EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", changed.seedAddresses());
   }
 
-  /** Stops as planned: another store leads the group and goes on with its items. */
+  /** Stops in an orderly way: another store takes over the group and resumes its items. */
   @Override
   public void close() {
     EVENTS.log(EventCode.PROCESS_STOPPING, "role", "store", "id", settings.fleet().name());
-    JobsReplica own = replica;
-    if (own != null) {
-      own.transferLeadership();
+    JobsReplica current = replica;
+    if (current != null) {
+      current.transferLeadership();
     }
     resources.closeAll();
     EVENTS.log(EventCode.PROCESS_STOPPED, "role", "store", "id", settings.fleet().name());
--- a/fleet/src/main/java/io/pathdeck/fleet/store/StoreSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/StoreSettings.java
@@ -10,17 +10,17 @@
  * The settings of a store.
  *
  * @param firstStart whether this is the first start of the whole system, on empty disks
- * @param engineDrainMs for how long an engine that leaves may get new work after the list of
- *     engines shows it
+ * @param engineDrainMs for how long a leaving engine may get new work after the engine list shows
+ *     that it leaves
  */
 public record StoreSettings(
     FleetSettings fleet, Path dataFolder, boolean firstStart, int engineDrainMs) {
-  /** From the decision to start an item to its arrival at the engine, on a new connection. */
+  /** Time from the decision to start an item to its arrival at the engine, on a new connection. */
   private static final int START_MARGIN_MS = 500;
 
   /**
-   * How old the list of engines may be when an item starts by it. A coordinator that reads that an
-   * engine leaves may be cut off before it can tell.
+   * Maximum age of the engine list when an item starts. A coordinator that knows of a leaving
+   * engine may be cut off before it can report it.
    */
   long engineListValidMs() {
     return Math.max(0, engineDrainMs - START_MARGIN_MS);
--- a/fleet/src/test/java/io/pathdeck/fleet/store/MixedLoadSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/MixedLoadSimulation.java
@@ -19,13 +19,12 @@
 import java.util.SplittableRandom;
 
 /**
- * A model of batch items that share engines with online requests whose number swings; time in
- * milliseconds. Gateways choose engines by what their own calls tell, one store runs all items and
- * asks engines for their load. In the middle all of these processes may lose their state, while
- * engines go on with what they run.
+ * Simulates batch items that share engines with online requests at a varying rate; times in
+ * milliseconds. Gateways choose engines by what they see of their own calls; one store runs all
+ * items and polls engines for their load. All of these processes may crash once and lose their
+ * state, while engines continue the calls that they run.
  */
 final class MixedLoadSimulation {
-  /** No processes lose their state. */
   static final double NO_CRASH = 0;
 
   private static final int GATEWAYS = 6;
@@ -51,16 +50,16 @@
   private static final long GATEWAY_HALF_LIFE_MS = 250;
   private static final long STORE_HALF_LIFE_MS = 500;
 
-  /** Events of running items are recorded every 700 ms. */
+  /** Lost in a crash: events of running items are recorded every 700 ms. */
   private static final int UNRECORDED_EVENTS = 30;
 
-  /** For how long engines go on with calls of processes that are gone. */
+  /** How long engines continue the calls of crashed processes. */
   private static final double ORPHAN_RUN_MS = 1_500;
 
   private static final Prompt PROMPT = new Prompt(450, "shared", 200);
   private static final List<String> ZONES = List.of("a", "b", "c");
 
-  /** What callers got in several days. */
+  /** Counts over one or more runs. */
   record Result(
       int requests,
       int lateRequests,
@@ -96,8 +95,8 @@
     boolean running;
     boolean over;
 
-    Call(Runnable begin) {
-      this.onStart = begin;
+    Call(Runnable onStart) {
+      this.onStart = onStart;
     }
   }
 
@@ -254,18 +253,18 @@
     if (nowMs > DURATION_MS) {
       return;
     }
-    double perMs = inPeak() ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS;
-    after(-Math.log(1 - random.nextDouble()) / perMs, this::generateRequest);
-    boolean crest = inPeak();
+    double requestsPerMs = inPeak() ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS;
+    after(-Math.log(1 - random.nextDouble()) / requestsPerMs, this::generateRequest);
+    boolean peak = inPeak();
     if (isDown()) {
-      // Callers come back when the processes are there again.
+      // Callers retry when the processes are up again.
       after(crashAtMs + outageMs - nowMs + 500 * random.nextDouble(), () -> sendRequest(false));
     } else {
-      sendRequest(crest);
+      sendRequest(peak);
     }
   }
 
-  private void sendRequest(boolean crest) {
+  private void sendRequest(boolean peak) {
     int gateway = random.nextInt(GATEWAYS);
     List<EngineState> usable = gatewayTables.get(gateway).usable("s", Set.of(), clockMs());
     Placement placement =
@@ -274,10 +273,10 @@
     Engine engine = engines.get(state.instance().id());
     double sentMs = nowMs;
     requests++;
-    peakRequests += crest ? 1 : 0;
+    peakRequests += peak ? 1 : 0;
     state.onStart(clockMs());
     state.onPromptSent(placement.prefillTokens());
-    int ofLife = generation;
+    int expectedGeneration = generation;
     Call[] call = new Call[1];
     double events = STREAM_EVENTS * (0.75 + 0.5 * random.nextDouble());
     call[0] =
@@ -289,9 +288,10 @@
                     state.onPrefillDone(placement.prefillTokens());
                     state.onFirstBytes((long) (nowMs - sentMs), clockMs());
                     state.onLoadReport(load(engine), clockMs());
-                    boolean isLate = nowMs - sentMs > LATENCY_TARGET_MS || ofLife != generation;
+                    boolean isLate =
+                        nowMs - sentMs > LATENCY_TARGET_MS || expectedGeneration != generation;
                     lateRequests += isLate ? 1 : 0;
-                    latePeakRequests += isLate && crest ? 1 : 0;
+                    latePeakRequests += isLate && peak ? 1 : 0;
                   });
               after(
                   PREFILL_MS + EVENT_MS * events,
@@ -322,8 +322,8 @@
   }
 
   private void step() {
-    boolean open = items.stream().anyMatch(item -> !item.complete);
-    if (nowMs > DURATION_MS && !open) {
+    boolean unfinished = items.stream().anyMatch(item -> !item.complete);
+    if (nowMs > DURATION_MS && !unfinished) {
       return;
     }
     after(STEP_MS, this::step);
@@ -335,20 +335,20 @@
   }
 
   private void pollLoad() {
-    boolean waiting = items.stream().anyMatch(item -> !item.complete && item.call == null);
-    boolean running = nowMs >= nextBusyPollMs;
-    boolean others = waiting && nowMs >= nextIdlePollMs;
+    boolean itemsWait = items.stream().anyMatch(item -> !item.complete && item.call == null);
+    boolean busyDue = nowMs >= nextBusyPollMs;
+    boolean idleDue = itemsWait && nowMs >= nextIdlePollMs;
     for (EngineState state : storeTable.all()) {
-      if (state.inFlight() > 0 ? running : others) {
-        EngineLoadReport told = load(engines.get(state.instance().id()));
-        int ofLife = generation;
-        after(REPORT_DELAY_MS, () -> onReport(state, told, ofLife));
+      if (state.inFlight() > 0 ? busyDue : idleDue) {
+        EngineLoadReport report = load(engines.get(state.instance().id()));
+        int expectedGeneration = generation;
+        after(REPORT_DELAY_MS, () -> onReport(state, report, expectedGeneration));
       }
     }
-    if (running) {
+    if (busyDue) {
       nextBusyPollMs = nowMs + LoadPolls.BUSY_INTERVAL_MS;
     }
-    if (others) {
+    if (idleDue) {
       nextIdlePollMs = nowMs + LoadPolls.IDLE_INTERVAL_MS;
     }
   }
@@ -366,15 +366,15 @@
     return Comparator.comparing(this::urgency).thenComparing(this::slackMs);
   }
 
-  private void onReport(EngineState state, EngineLoadReport told, int ofLife) {
-    if (ofLife != generation) {
+  private void onReport(EngineState state, EngineLoadReport report, int expectedGeneration) {
+    if (expectedGeneration != generation) {
       return;
     }
-    state.onLoadReport(told, clockMs());
+    state.onLoadReport(report, clockMs());
     items.stream()
         .filter(item -> item.call != null && item.state == state)
         .sorted(startOrder().reversed())
-        .limit(slotPolicy.itemsToYield(state, told, false))
+        .limit(slotPolicy.itemsToYield(state, report, false))
         .toList()
         .forEach(this::stop);
   }
@@ -399,22 +399,23 @@
 
   private void startItems() {
     long leadingForMs = (long) (nowMs - leaderSinceMs);
-    double part = slotPolicy.rampUpShare(leadingForMs);
+    double share = slotPolicy.rampUpShare(leadingForMs);
     List<Item> waiting =
         items.stream()
             .filter(item -> !item.complete && item.call == null && nowMs >= item.notBeforeMs)
             .sorted(startOrder())
             .toList();
     for (Item item : waiting) {
-      List<EngineState> open =
+      List<EngineState> available =
           storeTable.usable("s", Set.of(), clockMs()).stream()
               .filter(state -> slotPolicy.isLoadKnown(state, leadingForMs, clockMs()))
-              .filter(state -> slotPolicy.hasFreeSlot(state, part, clockMs()))
+              .filter(state -> slotPolicy.hasFreeSlot(state, share, clockMs()))
               .toList();
-      if (open.isEmpty()) {
+      if (available.isEmpty()) {
         return;
       }
-      start(item, storeBalancer.choose(open, Prompt.UNKNOWN, clockMs()).orElseThrow().engine());
+      start(
+          item, storeBalancer.choose(available, Prompt.UNKNOWN, clockMs()).orElseThrow().engine());
     }
   }
 
@@ -422,14 +423,14 @@
     Engine engine = engines.get(state.instance().id());
     item.state = state;
     state.onStart(clockMs());
-    int ofLife = generation;
+    int expectedGeneration = generation;
     Call[] call = new Call[1];
     call[0] =
         new Call(
             () -> {
               item.startedMs = nowMs;
               double runMs = PREFILL_MS + (item.events - item.eventsDone) * EVENT_MS;
-              after(runMs, () -> end(item, engine, call[0], ofLife));
+              after(runMs, () -> end(item, engine, call[0], expectedGeneration));
             });
     item.call = call[0];
     after(
@@ -441,12 +442,12 @@
         });
   }
 
-  private void end(Item item, Engine engine, Call call, int ofLife) {
+  private void end(Item item, Engine engine, Call call, int expectedGeneration) {
     if (call.over) {
       return;
     }
     engine.end(call);
-    if (item.call != call || ofLife != generation) {
+    if (item.call != call || expectedGeneration != generation) {
       return;
     }
     item.state.onEnd();
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestBatchSlotPolicy.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestBatchSlotPolicy.java
@@ -66,7 +66,7 @@
     assertThat(itemsToYield(12, 50, false)).isEqualTo(50);
   }
 
-  /** A request counts as waiting while its prompt is read, though it has a slot. */
+  /** A request counts as waiting until its prefill is done, even if it has a slot. */
   @Test
   void noItemYieldsWhileSlotsAreFree() {
     assertThat(itemsToYield(8, 4, false)).isZero();
@@ -79,14 +79,14 @@
     assertThat(itemsToYield(12, 2, true)).isEqualTo(2);
   }
 
-  /** After a loss of power late items took three quarters of all slots. */
+  /** Guards against late items that take most slots after a power failure. */
   @Test
   void lateItemsStartLast() {
     assertThat(ItemUrgency.of(NEGATIVE_SLACK_MS)).isGreaterThan(ItemUrgency.of(LONG_SLACK_MS));
     assertThat(ItemUrgency.of(LONG_SLACK_MS)).isGreaterThan(ItemUrgency.of(SHORT_SLACK_MS));
   }
 
-  /** After a loss of power 44 items started at once on engines that were still full. */
+  /** Guards against items that start on full engines after a power failure. */
   @Test
   void waitsForFirstLoadReport() {
     assertThat(policy.isLoadKnown(engine, 100, NOW_MS)).isFalse();
@@ -101,7 +101,7 @@
   }
 
   /**
-   * All unfinished items of a new leader wait at once, and after a loss of power all callers do.
+   * A new leader has all unfinished items to start, and after a power failure all callers retry.
    */
   @Test
   void newLeaderRampsUp() {
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemPlacement.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemPlacement.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Items that are due 18 s after they came and run 3.4 s on a usual engine, 9 s on a slow one. */
+/** Items that run 3.4 s on an engine of median pace and 9 s on a slow one. */
 class TestItemPlacement {
   private static final long NOW_MS = 1_000;
   private static final long TYPICAL_RUN_MS = 3_400;
@@ -46,11 +46,11 @@
     table.all().forEach(engine -> engine.onLoadReport(load, NOW_MS));
   }
 
-  private List<EngineState> candidates(List<EngineState> open, long dueInMs) {
+  private List<EngineState> candidates(List<EngineState> available, long dueInMs) {
     ServicePace pace = table.pace("s", NOW_MS);
     ItemUrgency urgency = ItemUrgency.of(dueInMs - TYPICAL_RUN_MS);
     return ItemPlacement.candidates(
-        open,
+        available,
         pace,
         urgency,
         engine -> dueInMs - Math.round(TYPICAL_RUN_MS * pace.relativePace(engine)));
@@ -86,9 +86,9 @@
 
   @Test
   void unreportedPaceMakesEnginesEqual() {
-    List<EngineState> open = List.of(typical, slow);
+    List<EngineState> available = List.of(typical, slow);
     for (long dueInMs : new long[] {18_000, 8_500, 6_000, 1_000}) {
-      assertThat(candidates(open, dueInMs)).isEqualTo(open);
+      assertThat(candidates(available, dueInMs)).isEqualTo(available);
     }
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
@@ -74,7 +74,7 @@
     BatchJob job = machine.job("j").orElseThrow();
     long logTimeMs = job.submittedAtMs() + 4_000;
     ItemRun inherited = new ItemRun(job, item, 10_000, logTimeMs);
-    assertThat(inherited.minAgeMs(10_000)).as("the log ran at twice real speed").isEqualTo(2_000);
+    assertThat(inherited.minAgeMs(10_000)).as("log time ran at twice real time").isEqualTo(2_000);
     assertThat(inherited.minAgeMs(11_500)).as("then real time counts").isEqualTo(3_500);
   }
 
@@ -96,7 +96,7 @@
     run.onStart(new ItemStream(-1, outcome -> {}), engine, 1, 1_000);
     run.appendEvents(new ItemEvents(-1, 9, "first"));
     run.reportPace(1_700, (events, usualMs) -> {});
-    assertThat(engine.pace().msPerEvent()).as("it may have waited").isZero();
+    assertThat(engine.pace().msPerEvent()).as("may include queueing").isZero();
     run.appendEvents(new ItemEvents(9, 19, "next"));
     run.reportPace(2_400, (events, usualMs) -> {});
     run.reportPace(9_000, (events, usualMs) -> {});
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
@@ -24,7 +24,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Items that are urgent, patient and overdue meet engines of eight slots. */
+/** Urgent, deferrable and late items on one engine with eight slots. */
 class TestItemScheduler {
   private static final long DUE_MS = 18_000;
   private static final long URGENT_DUE_MS = 6_000;
@@ -43,8 +43,8 @@
     engines.update(view.engines());
     EngineLoadBalancer choice = new EngineLoadBalancer("z", 1);
     scheduler = new ItemScheduler(engines, choice, new ItemSlack(machine::timeMs));
-    addItem("patient", DUE_MS);
-    addItem("overdue", LATE_DUE_MS);
+    addItem("deferrable", DUE_MS);
+    addItem("late", LATE_DUE_MS);
     addItem("urgent", URGENT_DUE_MS);
   }
 
@@ -105,24 +105,24 @@
     scheduler.startItems(runs, view, this::start, NOW_MS);
   }
 
-  private void start(ItemRun run, EngineState on, double relativePace) {
+  private void start(ItemRun run, EngineState engine, double relativePace) {
     started.add(run.item.id());
-    on.onStart(NOW_MS);
-    run.onStart(new ItemStream(-1, outcome -> {}), on, relativePace, NOW_MS);
+    engine.onStart(NOW_MS);
+    run.onStart(new ItemStream(-1, outcome -> {}), engine, relativePace, NOW_MS);
   }
 
   @Test
   void urgentFirstLateLast() {
     report(0, 0);
     startItems();
-    assertThat(started).containsExactly("urgent", "patient", "overdue");
+    assertThat(started).containsExactly("urgent", "deferrable", "late");
   }
 
   @Test
   void lastSlotStaysFree() {
     report(5, 0);
     startItems();
-    assertThat(started).containsExactly("urgent", "patient");
+    assertThat(started).containsExactly("urgent", "deferrable");
   }
 
   @Test
@@ -139,7 +139,7 @@
     assertThat(scheduler.itemsToYield(runs, engine(), load(8, 0), NOW_MS)).isEmpty();
     assertThat(scheduler.itemsToYield(runs, engine(), load(8, 2), NOW_MS))
         .extracting(run -> run.item.id())
-        .containsExactly("overdue", "patient");
+        .containsExactly("late", "deferrable");
     assertThat(scheduler.itemsToYield(runs, engine(), load(8, 9), NOW_MS)).hasSize(3);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemSlack.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemSlack.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** An item of 1,000 tokens that is due 18 s after it came and runs 3.4 s on a usual engine. */
+/** An item of 1,000 tokens that is due 18 s after submission and runs 3.4 s at median pace. */
 class TestItemSlack {
   private static final long TARGET_MS = 18_000;
   private static final long OUTPUT_TOKENS = 1_000;
@@ -32,9 +32,9 @@
     machine.apply(new CommandEnvelope("", 0, 1, job));
     logTimeMs = run().job.submittedAtMs();
     for (int i = 0; i < COMPLETED_ITEMS; i++) {
-      ItemRun whole = run();
-      whole.onStart(new ItemStream(-1, outcome -> {}), engine(), SLOW_PACE, 0);
-      slack.onItemCompleted(whole, Math.round(3_400 * SLOW_PACE));
+      ItemRun completed = run();
+      completed.onStart(new ItemStream(-1, outcome -> {}), engine(), SLOW_PACE, 0);
+      slack.onItemCompleted(completed, Math.round(3_400 * SLOW_PACE));
     }
   }
 
@@ -60,7 +60,7 @@
     ItemRun run = run();
     run.onStart(new ItemStream(-1, outcome -> {}), engine(), 1, 0);
     logTimeMs += TARGET_MS - 6_000;
-    assertThat(slack.canBeOnTimeElsewhere(run, 0)).as("not known to be slow").isFalse();
+    assertThat(slack.canBeOnTimeElsewhere(run, 0)).as("pace not known").isFalse();
     run.setRelativePace(SLOW_PACE);
     assertThat(slack.canBeOnTimeElsewhere(run, 0)).isTrue();
     logTimeMs += 2_500;
@@ -79,7 +79,7 @@
     assertThat(slack.urgency(run(), 0)).isEqualTo(ItemUrgency.DEFERRABLE);
   }
 
-  /** 25 events in 700 ms. */
+  /** Records 25 events in 700 ms. */
   private void recordEventTime() {
     ItemRun other = run();
     other.onStart(new ItemStream(99, outcome -> {}), engine(), 1, 0);
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestJobSubmissions.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestJobSubmissions.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A job that is sent several times is in the log once, and every sender is answered. */
+/** Checks that a job sent several times is appended once and every sender gets a reply. */
 class TestJobSubmissions {
   private static final int GROUP = 1;
   private static final int MEMBER = 1;
@@ -87,21 +87,21 @@
   }
 
   private List<CompletableFuture<Message>> submitCopies() throws Exception {
-    List<CompletableFuture<Message>> answers = new ArrayList<>();
+    List<CompletableFuture<Message>> replies = new ArrayList<>();
     for (int copy = 0; copy < COPIES; copy++) {
-      answers.add(new CompletableFuture<>());
+      replies.add(new CompletableFuture<>());
     }
     onConsensusThread(
         () -> {
-          answers.forEach(answer -> submissions.submit(job(), answer::complete));
+          replies.forEach(reply -> submissions.submit(job(), reply::complete));
           return null;
         });
-    return answers;
+    return replies;
   }
 
-  private static void assertAccepted(List<CompletableFuture<Message>> answers) throws Exception {
-    for (CompletableFuture<Message> answer : answers) {
-      assertThat(answer.get(TIMEOUT_S, TimeUnit.SECONDS))
+  private static void assertAccepted(List<CompletableFuture<Message>> replies) throws Exception {
+    for (CompletableFuture<Message> reply : replies) {
+      assertThat(reply.get(TIMEOUT_S, TimeUnit.SECONDS))
           .isEqualTo(new ProposeReply(new BatchAccepted("job")));
     }
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestRunTimeEstimate.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestRunTimeEstimate.java
@@ -14,9 +14,9 @@
 
   @Test
   void elapsedTimeReducesRemainder() {
-    long wholeMs = estimate.remainingMs(1_000, 0);
-    assertThat(estimate.remainingMs(1_000, 500)).isEqualTo(wholeMs - 500);
-    assertThat(estimate.remainingMs(1_000, wholeMs + 10_000)).isZero();
+    long totalMs = estimate.remainingMs(1_000, 0);
+    assertThat(estimate.remainingMs(1_000, 500)).isEqualTo(totalMs - 500);
+    assertThat(estimate.remainingMs(1_000, totalMs + 10_000)).isZero();
   }
 
   @Test
@@ -37,7 +37,7 @@
 
   @Test
   void eventTimeFollowsSamples() {
-    assertThat(estimate.eventsMs(100)).as("a token each at least").isEqualTo(400);
+    assertThat(estimate.eventsMs(100)).as("at least one token each").isEqualTo(400);
     for (int i = 0; i < 30; i++) {
       estimate.onEvents(25, 700);
     }
