--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueueActivation.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueueActivation.java
@@ -3,7 +3,9 @@
 import io.pathdeck.protocol.fleet.CallerTenant;
 import io.pathdeck.protocol.fleet.RouteTable;
 
-/** Decides whether requests are queued: their order matters only if callers compete for engines. */
+/**
+ * Detects configurations in which callers compete for engines, so that requests are queued by rank.
+ */
 public final class QueueActivation {
   private QueueActivation() {}
 
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
@@ -98,8 +98,8 @@
   }
 
   /**
-   * For how long attempts have run since this store leads. Time on a slow engine counts as what one
-   * of median pace would have taken for the same work.
+   * Total run time of the attempts since this store became leader. Time on a slow engine counts as
+   * what one of median pace would have taken for the same work.
    */
   long normalizedRunMs(long nowMs) {
     return normalizedRunMs + (stream == null ? 0 : Math.round((nowMs - startedMs) / relativePace));
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
@@ -80,14 +80,14 @@
   }
 
   private List<ItemRun> startableItems(Collection<ItemRun> runs, long nowMs) {
-    List<ItemRun> waiting = new ArrayList<>();
+    List<ItemRun> startable = new ArrayList<>();
     for (ItemRun run : runs) {
       if (run.mayStart(nowMs)) {
-        waiting.add(run);
+        startable.add(run);
       }
     }
-    waiting.sort(slack.startOrder(nowMs));
-    return waiting;
+    startable.sort(slack.startOrder(nowMs));
+    return startable;
   }
 
   /** Engines on which an item may start. */
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
@@ -95,10 +95,10 @@
         engineQueue.add(queue.poll().orElseThrow().request());
       }
       while (slotsFreeAtMs.size() < SLOTS && !engineQueue.isEmpty()) {
-        int startedMs = engineQueue.poll();
+        int arrivedMs = engineQueue.poll();
         slotsFreeAtMs.add(nowMs + SLOT_TIME_MS);
-        boolean onTime = nowMs + FIRST_BYTE_MS <= startedMs + DUE_MS;
-        smallOnTime += startedMs >= 60 && onTime ? 1 : 0;
+        boolean onTime = nowMs + FIRST_BYTE_MS <= arrivedMs + DUE_MS;
+        smallOnTime += arrivedMs >= 60 && onTime ? 1 : 0;
       }
     }
     return smallOnTime;
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
@@ -95,11 +95,11 @@
     ItemRun run = run();
     run.onStart(new ItemStream(-1, outcome -> {}), engine, 1, 1_000);
     run.appendEvents(new ItemEvents(-1, 9, "first"));
-    run.reportPace(1_700, (events, usualMs) -> {});
+    run.reportPace(1_700, (events, normalizedMs) -> {});
     assertThat(engine.pace().msPerEvent()).as("may include queueing").isZero();
     run.appendEvents(new ItemEvents(9, 19, "next"));
-    run.reportPace(2_400, (events, usualMs) -> {});
-    run.reportPace(9_000, (events, usualMs) -> {});
+    run.reportPace(2_400, (events, normalizedMs) -> {});
+    run.reportPace(9_000, (events, normalizedMs) -> {});
     assertThat(engine.pace().msPerEvent()).isEqualTo(70);
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
@@ -41,8 +41,8 @@
 
   TestItemScheduler() {
     engines.update(view.engines());
-    EngineLoadBalancer choice = new EngineLoadBalancer("z", 1);
-    scheduler = new ItemScheduler(engines, choice, new ItemSlack(machine::timeMs));
+    EngineLoadBalancer loadBalancer = new EngineLoadBalancer("z", 1);
+    scheduler = new ItemScheduler(engines, loadBalancer, new ItemSlack(machine::timeMs));
     addItem("deferrable", DUE_MS);
     addItem("late", LATE_DUE_MS);
     addItem("urgent", URGENT_DUE_MS);
