--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueueActivation.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueueActivation.java
@@ -3,7 +3,9 @@
 import io.pathdeck.protocol.fleet.CallerTenant;
 import io.pathdeck.protocol.fleet.RouteTable;
 
-/** Whether a configuration lets callers compete, so that the order of their requests matters. */
+/**
+ * Detects configurations in which callers compete for engines, so that requests are queued by rank.
+ */
 public final class QueueActivation {
   private QueueActivation() {}
 
