--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptBudget.java
@@ -3,10 +3,10 @@
 import io.pathdeck.protocol.fleet.RouteSpec;
 
 /**
- * Decides whether a request may be offered to another engine, from one question: may it have run?
+ * Decides whether a request may be sent to another engine, based on whether it may have run.
  *
- * <p>If it did not run, another engine may take it. If it may have, only a repeatable request goes
- * on, and on no more engines than its route allows.
+ * <p>A request that did not run may be retried. One that may have run is retried only if it is
+ * repeatable, and runs at most as often as its route allows.
  */
 final class AttemptBudget {
   private final boolean repeatable;
@@ -26,12 +26,12 @@
     possibleRuns++;
   }
 
-  /** The newest send was refused or never left: it did not run. */
+  /** Records that the latest send was refused or never left, so the request did not run. */
   void onNotRun() {
     possibleRuns--;
   }
 
-  /** Whether the request may be sent again after the newest send has ended. */
+  /** Returns whether the request may be sent again after the latest send has ended. */
   boolean mayRetry() {
     if (sends >= maxSends || possibleRuns >= maxRuns) {
       return false;
@@ -39,7 +39,7 @@
     return possibleRuns == 0 || repeatable;
   }
 
-  /** Whether the request may have run on some engine. */
+  /** Returns whether the request may have run on any engine. */
   boolean mayHaveRun() {
     return possibleRuns > 0;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
@@ -5,7 +5,9 @@
 import io.pathdeck.fleet.engine.Placement;
 import io.pathdeck.fleet.engine.StreamTiming;
 
-/** What one send of a request teaches about its engine; confined to the event loop. */
+/**
+ * Tracks one attempt and reports its progress to the engine's state; confined to the event loop.
+ */
 final class AttemptTracker {
   private static final long NOT_RECEIVED = -1;
 
@@ -30,17 +32,17 @@
     return engine;
   }
 
-  /** The load at the choice, as it was believed. */
+  /** Returns the engine's estimated load when it was chosen. */
   double estimatedLoad() {
     return estimatedLoad;
   }
 
-  /** How old that belief was. */
+  /** Returns the age of the load report at that time. */
   long loadAgeMs() {
     return loadAgeMs;
   }
 
-  /** Whether the engine was believed to have a free place at the choice. */
+  /** Returns whether the engine was estimated to have a free slot when it was chosen. */
   boolean hadFreeSlot() {
     return estimatedLoad < engine.instance().slots();
   }
@@ -51,53 +53,56 @@
   }
 
   void onDataReceived(long nowMs) {
-    notePromptRead();
+    recordPromptRead();
     engine.onDataReceived(nowMs);
   }
 
-  /** The answer began; returns how long the request waited beyond the reading of its prompt. */
-  long onFirstBytes(long tokensReadPerMs, EngineLoadReport load, long nowMs) {
+  /**
+   * Records the start of the response; returns how long the request waited, without the time to
+   * read its prompt.
+   */
+  long onFirstBytes(long prefillTokensPerMs, EngineLoadReport report, long nowMs) {
     firstBytesMs = nowMs;
-    long readingMs = tokensToRead / tokensReadPerMs;
-    long waitMs = Math.max(0, nowMs - sentMs - readingMs);
+    long prefillMs = tokensToRead / prefillTokensPerMs;
+    long waitMs = Math.max(0, nowMs - sentMs - prefillMs);
     engine.onFirstBytes(waitMs, nowMs);
-    if (load != null) {
-      engine.onLoadReport(load, nowMs);
+    if (report != null) {
+      engine.onLoadReport(report, nowMs);
     }
     return waitMs;
   }
 
-  /** How long the first bytes took after the send. */
+  /** Returns the time from sending the request to the first bytes. */
   long timeToFirstByteMs() {
     return firstBytesMs - sentMs;
   }
 
-  /** Whether the answer began. */
+  /** Returns whether the response has started. */
   boolean hasResponse() {
     return firstBytesMs != NOT_RECEIVED;
   }
 
-  /** For how long the answer has been coming. */
+  /** Returns the time since the response started. */
   long respondingMs(long nowMs) {
     return nowMs - firstBytesMs;
   }
 
-  /** A stream has come to {@code event}. */
+  /** Records that a stream has reached {@code event}. */
   void onEvent(long event, long nowMs) {
     eventTimes.onEvent(event, nowMs);
   }
 
-  /** A stream has ended well: its events show the engine's pace. */
+  /** Records a completed stream, whose event times show the engine's pace. */
   void onStreamCompleted(long nowMs) {
     engine.pace().onStream(eventTimes.eventsAfterFirst(), eventTimes.spanMs(), nowMs);
   }
 
   void end() {
-    notePromptRead();
+    recordPromptRead();
     engine.onEnd();
   }
 
-  private void notePromptRead() {
+  private void recordPromptRead() {
     if (!promptRead) {
       promptRead = true;
       engine.onPrefillDone(tokensToRead);
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
@@ -37,10 +37,10 @@
 import java.util.function.Consumer;
 
 /**
- * Callers' calls about batch jobs, passed on to the groups that keep them.
+ * Handles callers' batch job requests by forwarding them to the groups that store the jobs.
  *
- * <p>"There is no such job" is said only after a linearizable read. A submission whose outcome is
- * not known is answered as failed, never as refused: a refusal would promise that nothing runs.
+ * <p>A job is reported as missing only after a linearizable read. A submission with an unknown
+ * outcome is answered as failed, never as refused, since a refusal promises that nothing runs.
  */
 final class BatchCalls {
   private static final EventLog EVENTS = EventLog.of(BatchCalls.class);
@@ -57,8 +57,8 @@
   private final JobsGroupLocator groups;
   private final CallerProtocol protocol;
 
-  BatchCalls(JobsGroupLocator jobs, CallerProtocol protocol) {
-    this.groups = jobs;
+  BatchCalls(JobsGroupLocator groups, CallerProtocol protocol) {
+    this.groups = groups;
     this.protocol = protocol;
   }
 
@@ -206,12 +206,13 @@
   private static void propose(
       JobsGroup group,
       BatchCommand command,
-      Consumer<Result<CommandResult, GroupCallError>> answer) {
+      Consumer<Result<CommandResult, GroupCallError>> callback) {
     Message message = new ProposeRequest(group.group(), "", 0, command);
     group
         .client()
         .call(message, SUBMIT_TIMEOUT_MS, ATTEMPT_TIMEOUT_MS)
-        .thenAccept(result -> answer.accept(result.map(reply -> ((ProposeReply) reply).result())));
+        .thenAccept(
+            result -> callback.accept(result.map(reply -> ((ProposeReply) reply).result())));
   }
 
   private void query(
@@ -219,7 +220,7 @@
       String jobId,
       Query query,
       long waitMs,
-      Consumer<Result<QueryResult, GroupCallError>> answer) {
+      Consumer<Result<QueryResult, GroupCallError>> callback) {
     Optional<JobsGroup> group = groups.groupOf(jobId);
     if (group.isEmpty()) {
       refuseUnknownGroups(exchange);
@@ -230,6 +231,6 @@
         .get()
         .client()
         .call(message, READ_TIMEOUT_MS + waitMs, ATTEMPT_TIMEOUT_MS + waitMs)
-        .thenAccept(result -> answer.accept(result.map(reply -> ((QueryReply) reply).result())));
+        .thenAccept(result -> callback.accept(result.map(reply -> ((QueryReply) reply).result())));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/BufferedResponse.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/BufferedResponse.java
@@ -3,7 +3,7 @@
 import io.pathdeck.serving.http.HeldMemory;
 import java.io.ByteArrayOutputStream;
 
-/** The body of an answer that is passed on whole; what it holds is counted. */
+/** The body of a non-streaming response, counted against the memory budget. */
 final class BufferedResponse {
   private final HeldMemory memory;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -12,16 +12,16 @@
     this.memory = memory;
   }
 
-  /** Keeps a part; false when there is no memory for it. */
+  /** Appends a part; returns false if the budget has no room for it. */
   boolean add(byte[] part) {
-    boolean kept = memory.tryHoldAnswer(part.length);
-    if (kept) {
+    boolean reserved = memory.tryHoldAnswer(part.length);
+    if (reserved) {
       bytes.writeBytes(part);
     }
-    return kept;
+    return reserved;
   }
 
-  /** The answer will not be passed on. */
+  /** Discards the body and releases its memory. */
   void discard() {
     memory.releaseAnswer(bytes.size());
     bytes.reset();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerIdentity.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerIdentity.java
@@ -3,37 +3,37 @@
 import io.pathdeck.fleet.adapter.EngineTenant;
 import io.pathdeck.protocol.fleet.CallerTenant;
 
-/** Who sent a request, as far as its key tells. */
+/** The identity of a caller, derived from its API key. */
 sealed interface CallerIdentity {
-  /** The fleet has no tenants, and callers carry no keys. */
+  /** The fleet has no tenants, so callers need no keys. */
   record AuthenticationDisabled() implements CallerIdentity {}
 
-  /** The route is open to callers without a key, and none was given. */
+  /** The route allows anonymous callers, and the request has no valid key. */
   record Anonymous() implements CallerIdentity {}
 
-  /** The key is a tenant's. */
+  /** The key belongs to a tenant. */
   record Authenticated(CallerTenant tenant) implements CallerIdentity {}
 
-  /** A key is needed, and there is none or one that no tenant has. */
+  /** A key is required but is missing or belongs to no tenant. */
   record MissingOrUnknownKey() implements CallerIdentity {}
 
-  /** The name of the tenant; empty when none is known. */
+  /** Returns the tenant's name; empty if there is none. */
   default String tenantName() {
-    return this instanceof Authenticated known ? known.tenant().name() : "";
+    return this instanceof Authenticated authenticated ? authenticated.tenant().name() : "";
   }
 
-  /** The priority of the tenant; that of an unranked one when none is known. */
+  /** Returns the tenant's priority; the default 0 if there is no tenant. */
   default int tenantPriority() {
-    return this instanceof Authenticated known ? known.tenant().priority() : 0;
+    return this instanceof Authenticated authenticated ? authenticated.tenant().priority() : 0;
   }
 
-  /** What engines are told. */
+  /** Returns the tenant to report to engines. */
   default EngineTenant toEngineTenant() {
     if (this instanceof AuthenticationDisabled) {
       return new EngineTenant.PassThrough();
     }
-    return this instanceof Authenticated known
-        ? new EngineTenant.Named(known.tenant().name())
+    return this instanceof Authenticated authenticated
+        ? new EngineTenant.Named(authenticated.tenant().name())
         : new EngineTenant.Anonymous();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerKeys.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerKeys.java
@@ -6,9 +6,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The tenants of one configuration by the digests of their keys; keys themselves are not kept. */
+/** The tenants of one configuration by the digests of their API keys; plain keys are not kept. */
 final class CallerKeys {
-  /** Before the first configuration: nobody is known. */
+  /** Used before the first configuration arrives. */
   static final CallerKeys NONE = new CallerKeys(false, new byte[0]);
 
   private final boolean required;
@@ -20,7 +20,7 @@
     this.salt = salt;
   }
 
-  /** Whether a call without a key can be refused. */
+  /** Returns whether calls without a key may be refused. */
   boolean isRequired() {
     return required;
   }
@@ -34,9 +34,9 @@
   }
 
   /**
-   * Who holds {@code key}.
+   * Identifies the caller with {@code key}.
    *
-   * @param key as the caller sent it; empty when it sent none
+   * @param key as the caller sent it; empty if it sent none
    * @param anonymousAllowed whether the call needs no key
    */
   CallerIdentity identify(String key, boolean anonymousAllowed) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Dispatchable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Dispatchable.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Set;
 
-/** A request that is to be sent to an engine, at once or after it has waited for room. */
+/** A request to be sent to an engine, immediately or from a queue. */
 interface Dispatchable {
   /**
-   * What decides when and in which order requests are sent.
+   * Determines when and in which order requests are sent.
    *
-   * @param tenant whose share of the engines it uses; empty when callers have no tenants
-   * @param dueMs when its answer should begin
-   * @param deadlineMs when its caller leaves
-   * @param bytes what it occupies in memory while it waits
-   * @param work how much of an engine it needs, compared with other requests
-   * @param mayBeRejected whether it surely has not run and nothing of an answer was sent
+   * @param tenant whose share of the engines the request uses; empty if callers have no tenants
+   * @param dueMs when its response should start
+   * @param deadlineMs when its caller stops waiting
+   * @param bytes the memory that it occupies while queued
+   * @param work its cost for an engine, relative to other requests
+   * @param mayBeRejected whether it has certainly not run and no part of a response was sent
    */
   record DispatchAttributes(
       String service,
@@ -27,15 +27,15 @@
       double work,
       boolean mayBeRejected) {}
 
-  /** What it needs now; it changes between sends. */
+  /** Returns the current attributes, which change between attempts. */
   DispatchAttributes attributes();
 
-  /** The engines that had the request already. */
+  /** Returns the ids of the engines that the request was already sent to. */
   Set<String> triedEngineIds();
 
-  /** Sends it to the best of the engines; there may be none. */
+  /** Sends the request to the best of the candidates, of which there may be none. */
   void sendTo(List<EngineState> candidates);
 
-  /** Tells its caller that it was not sent and when to come back. */
+  /** Tells the caller that the request was not sent and when to retry. */
   void reject(String reason, long retryAfterMs);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
@@ -7,10 +7,9 @@
 import java.util.Set;
 
 /**
- * What the forwarders of a gateway share.
+ * State shared by all forwarders of a gateway.
  *
- * @param callStartListener hears that a request was given to an engine, be it for the first time or
- *     again
+ * @param callStartListener runs whenever a request is sent to an engine, retries included
  */
 record ForwardingContext(
     EventLoop eventLoop,
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingSettings.java
@@ -1,15 +1,15 @@
 package io.pathdeck.fleet.gateway;
 
 /**
- * Times and limits of forwarding.
+ * Timeouts and limits of forwarding.
  *
- * @param minSilenceTimeoutMs how long an engine with calls under way may send nothing, at least,
- *     before it is suspected
- * @param silenceTimeoutPerThousandTokensMs how much longer for each thousand tokens of a prompt
- * @param refusedRetryAfterMs when a refused caller is told to come back
- * @param responseMarginMs how long before its deadline a request gets its final answer
- * @param maxSends the most engines that one request is offered to, whether or not they run it
- * @param prefillTokensPerMs about how many prompt tokens an engine reads in a millisecond
+ * @param minSilenceTimeoutMs the least time without data after which an engine with calls in
+ *     progress is suspected
+ * @param silenceTimeoutPerThousandTokensMs added to it per thousand prompt tokens
+ * @param refusedRetryAfterMs the {@code Retry-After} of a refused request
+ * @param responseMarginMs how long before its deadline a request gets its final response
+ * @param maxSends the most engines that a request is sent to, whether or not they run it
+ * @param prefillTokensPerMs the approximate prompt tokens that an engine processes per millisecond
  */
 record ForwardingSettings(
     long minSilenceTimeoutMs,
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -28,19 +28,19 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Matches callers' requests against the routes and serves them; confined to the event loop. */
+/** Routes callers' requests and serves them; confined to the event loop. */
 final class Gateway {
   private static final EventLog EVENTS = EventLog.of(Gateway.class);
   private static final long SILENCE_CHECK_INTERVAL_MS = 100;
   private static final long UNCONFIRMED_RETRY_AFTER_MS = 300;
 
   /**
-   * Short, since each gateway hears of an engine seldom: where a report counts for longer, all
-   * avoid engines that have become free.
+   * Half-life of an engine's load report. It is short because a gateway hears from an engine
+   * seldom; with a longer one, all gateways would avoid engines that have become free.
    */
   private static final long REPORT_HALF_LIFE_MS = 250;
 
-  /** A fifth of the usual window of a limit, in which a fifth of the limit becomes free. */
+  /** A fifth of the default window of a limit, in which a fifth of the limit becomes free. */
   private static final long OVER_RATE_RETRY_AFTER_MS = 1_000;
 
   private final CallerProtocol protocol;
@@ -61,10 +61,10 @@
   /**
    * Creates a gateway.
    *
-   * @param usable whether what is known may be acted on
-   * @param startProgress how far the start has come while it may not
-   * @param routesConfirmed whether the routes are surely the newest ones; while they are not, a
-   *     request without a route is not told that there is none
+   * @param usable whether the known configuration may be used
+   * @param startProgress the progress of the startup until it may be used
+   * @param routesConfirmed whether the routes are known to be current; until then, a request
+   *     without a route gets a retryable error instead of 404
    */
   Gateway(
       EventLoop eventLoop,
@@ -115,34 +115,34 @@
         queueMetrics);
   }
 
-  /** The engines and what this gateway knows of them; to be used on the event loop only. */
+  /** Returns the state of the engines; to be used on the event loop only. */
   EngineTable engines() {
     return context.engines();
   }
 
-  /** Calls {@code check} on the event loop with each check of engines for silence. */
-  void onPeriodicCheck(Runnable check) {
-    periodicCheck = check;
+  /** Sets an action that runs on the event loop before each silence check. */
+  void onPeriodicCheck(Runnable action) {
+    periodicCheck = action;
   }
 
-  /** Calls {@code heard} on the event loop when a request was given to an engine. */
-  void onCallStarted(Runnable heard) {
-    callStartListener = heard;
+  /** Sets an action that runs on the event loop whenever a request is sent to an engine. */
+  void onCallStarted(Runnable listener) {
+    callStartListener = listener;
   }
 
-  /** Follows what is known of the fleet. */
-  void onChange(FleetView changed) {
-    if (changed.engines() != null) {
-      context.engines().update(changed.engines());
+  /** Applies a change of the fleet's state. */
+  void onChange(FleetView newView) {
+    if (newView.engines() != null) {
+      context.engines().update(newView.engines());
     }
-    if (changed.routes() != null && changed.routes().version() != keysVersion) {
-      keysVersion = changed.routes().version();
-      keys = CallerKeys.of(changed.routes());
-      callersCompete = QueueActivation.hasTenantPolicies(changed.routes());
+    if (newView.routes() != null && newView.routes().version() != keysVersion) {
+      keysVersion = newView.routes().version();
+      keys = CallerKeys.of(newView.routes());
+      callersCompete = QueueActivation.hasTenantPolicies(newView.routes());
     }
   }
 
-  /** An engine has ended: it gets nothing until it can be back. */
+  /** Stops sending requests to a terminated engine until it may be back. */
   void onEngineEnded(EngineInstance engine) {
     context.engines().onDown(engine, TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
   }
@@ -155,7 +155,6 @@
     }
   }
 
-  /** Serves one request. */
   void handle(HttpExchange exchange) {
     CallerRequest call = protocol.read(exchange);
     if (call instanceof CallerRequest.Routed request) {
@@ -185,7 +184,10 @@
     }
   }
 
-  /** A key that this gateway does not know may be newer than the configuration that it holds. */
+  /**
+   * Refuses an unknown key. Unless the configuration is confirmed, the key may be newer than it,
+   * and the error is retryable.
+   */
   private void refuseUnknownKey(HttpExchange exchange) {
     if (routesConfirmed.getAsBoolean()) {
       exchange.sendError(ApiError.unauthorized());
@@ -194,7 +196,8 @@
     }
   }
 
-  private static void logRefusal(CallerRequest.Routed request, String reason, FleetView known) {
+  private static void logRefusal(
+      CallerRequest.Routed request, String reason, FleetView currentView) {
     EVENTS.log(
         EventCode.REQUEST_REFUSED,
         "request",
@@ -206,61 +209,61 @@
         "reason",
         reason,
         "routes_version",
-        known.routes() == null ? "none" : known.routes().version());
+        currentView.routes() == null ? "none" : currentView.routes().version());
   }
 
   private void handleRequest(HttpExchange exchange, CallerRequest.Routed request) {
-    FleetView known = view.get();
+    FleetView currentView = view.get();
     if (!usable.getAsBoolean()) {
-      logRefusal(request, "no configuration yet", known);
+      logRefusal(request, "no configuration yet", currentView);
       double random = ThreadLocalRandom.current().nextDouble();
       long retryAfterMs =
           StartupRetryDelay.retryAfterMs(startProgress.get(), request.deadlineMs(), random);
       Refusals.unavailable(exchange, "no configuration yet", retryAfterMs);
       return;
     }
-    Optional<RouteSpec> route = known.routes().match(request.host(), request.path());
+    Optional<RouteSpec> route = currentView.routes().match(request.host(), request.path());
     if (route.isEmpty() && !routesConfirmed.getAsBoolean()) {
-      logRefusal(request, "no route, but the routes may be out of date", known);
+      logRefusal(request, "no route, but the routes may be out of date", currentView);
       Refusals.unavailable(exchange, "the routes may be out of date", UNCONFIRMED_RETRY_AFTER_MS);
     } else if (route.isEmpty()) {
-      logRefusal(request, "no route", known);
+      logRefusal(request, "no route", currentView);
       exchange.sendError(ApiError.notFound("no_route", "no route for this host and path"));
     } else if (request.requestId().isEmpty()) {
-      logRefusal(request, "no request id", known);
+      logRefusal(request, "no request id", currentView);
       exchange.sendError(ApiError.invalid("no_request_id", "the request has no id"));
     } else {
-      handleRouted(exchange, request, route.get(), known);
+      handleRouted(exchange, request, route.get(), currentView);
     }
   }
 
   private void handleRouted(
-      HttpExchange exchange, CallerRequest.Routed request, RouteSpec route, FleetView known) {
+      HttpExchange exchange, CallerRequest.Routed request, RouteSpec route, FleetView currentView) {
     CallerIdentity caller = keys.identify(request.key(), route.anonymous());
     if (caller instanceof CallerIdentity.MissingOrUnknownKey) {
-      logRefusal(request, "missing or unknown key", known);
+      logRefusal(request, "missing or unknown key", currentView);
       refuseUnknownKey(exchange);
     } else if (route.kind() == RouteKind.BATCH) {
       batch.submit(exchange, request, route, caller.tenantName());
-    } else if (caller instanceof CallerIdentity.Authenticated member) {
+    } else if (caller instanceof CallerIdentity.Authenticated authenticated) {
       limiter.admit(
-          member.tenant(),
+          authenticated.tenant(),
           outcome -> {
             switch (outcome) {
-              case ADMITTED -> forward(exchange, request, route, caller, known);
+              case ADMITTED -> forward(exchange, request, route, caller, currentView);
               case OVER_LIMIT -> {
-                logRefusal(request, "over the rate of tenant " + caller.tenantName(), known);
+                logRefusal(request, "over the rate of tenant " + caller.tenantName(), currentView);
                 Refusals.overRate(exchange, "over the tenant's rate", OVER_RATE_RETRY_AFTER_MS);
               }
               default -> {
-                logRefusal(request, "rate of " + caller.tenantName() + " not known", known);
+                logRefusal(request, "rate of " + caller.tenantName() + " not known", currentView);
                 Refusals.unavailable(
                     exchange, "the tenant's rate is not known", UNCONFIRMED_RETRY_AFTER_MS);
               }
             }
           });
     } else {
-      forward(exchange, request, route, caller, known);
+      forward(exchange, request, route, caller, currentView);
     }
   }
 
@@ -269,20 +272,23 @@
       CallerRequest.Routed request,
       RouteSpec route,
       CallerIdentity caller,
-      FleetView known) {
+      FleetView currentView) {
     if (exchange.isEnded()) {
       return;
     }
     long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     String service = trafficSplit.next(route);
-    long version = known.routes().version();
-    RequestAuthorization permission =
+    long version = currentView.routes().version();
+    RequestAuthorization authorization =
         new RequestAuthorization(caller, () -> isStillAllowed(request, caller));
-    new RequestForwarder(context, exchange, request, route, service, version, permission, nowMs)
+    new RequestForwarder(context, exchange, request, route, service, version, authorization, nowMs)
         .start();
   }
 
-  /** Whether the newest configuration has a route for the request and a tenant for its key. */
+  /**
+   * Returns whether the current configuration still routes the request and maps its key to the same
+   * tenant.
+   */
   private boolean isStillAllowed(CallerRequest.Routed request, CallerIdentity caller) {
     Optional<RouteSpec> route = view.get().routes().match(request.host(), request.path());
     return route.isPresent()
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -35,7 +35,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Supplier;
 
-/** A gateway: forwards callers' requests to engines; keeps no durable state. */
+/** A gateway, which forwards callers' requests to engines and keeps no durable state. */
 public final class GatewayProcess implements FleetMemberProcess {
   private static final EventLog EVENTS = EventLog.of(GatewayProcess.class);
 
@@ -57,14 +57,16 @@
     resources.push(eventLoops::shutdownGracefully);
     EventLoop eventLoop = eventLoops.next();
     PeerPool pool = resources.push(new PeerPool(eventLoops, tls, fleet.peerCompression()));
-    long life = System.nanoTime();
+    long startNs = System.nanoTime();
     contacts = new CoordinatorContacts(fleet, pool, eventLoops);
     TenantLimiter limiter =
-        new TenantLimiter(eventLoop, contacts.client(), fleet.name(), life, fleet.limitWindowMs());
+        new TenantLimiter(
+            eventLoop, contacts.client(), fleet.name(), startNs, fleet.limitWindowMs());
     follower =
         contacts.follower(
             eventLoop,
-            () -> new FleetFollower.SelfReport(describe(life), false, null, limiter.tenantUses()));
+            () ->
+                new FleetFollower.SelfReport(describe(startNs), false, null, limiter.tenantUses()));
     follower.onContention(limiter::onContendedTenants);
     JobsGroupLocator jobs = new JobsGroupLocator(pool, RetryTimer.on(eventLoops), follower::view);
     RequestMetrics metrics = new RequestMetrics();
@@ -80,10 +82,10 @@
             new BatchCalls(jobs, adapter.callers()),
             limiter,
             watch,
-            new EngineLoadBalancer(fleet.zone(), life),
+            new EngineLoadBalancer(fleet.zone(), startNs),
             metrics);
     LoadMetrics loadMetrics = new LoadMetrics();
-    loadExchange = resources.push(createLoadExchange(eventLoop, life, loadMetrics));
+    loadExchange = resources.push(createLoadExchange(eventLoop, startNs, loadMetrics));
     if (!fleet.tls().isEnabled()) {
       gateway.onPeriodicCheck(loadExchange::openIfNeeded);
       gateway.onCallStarted(loadExchange::onCallStarted);
@@ -126,11 +128,12 @@
     return new MemoryBudget(settings.memoryBudgetBytes(), metrics)::open;
   }
 
-  private LoadExchange createLoadExchange(EventLoop eventLoop, long life, LoadMetrics metrics) {
+  private LoadExchange createLoadExchange(
+      EventLoop eventLoop, long incarnation, LoadMetrics metrics) {
     FleetSettings fleet = settings.fleet();
     return new LoadExchange(
         eventLoop,
-        new LoadExchange.Self(fleet.name(), life, fleet.zone(), fleet.listen()),
+        new LoadExchange.Self(fleet.name(), incarnation, fleet.zone(), fleet.listen()),
         gateway.engines(),
         metrics,
         settings.shareLoad());
@@ -162,7 +165,6 @@
     FleetMetrics.bindView(registry, follower);
   }
 
-  /** Starts a gateway. */
   public static GatewayProcess start(
       GatewaySettings settings, TransportTls tls, FleetAdapter adapter) {
     GatewayProcess process = new GatewayProcess(settings, tls, adapter);
@@ -178,13 +180,13 @@
     return process;
   }
 
-  private FleetProcess describe(long life) {
+  private FleetProcess describe(long incarnation) {
     return new FleetProcess(
         settings.fleet().name(),
         FleetRole.GATEWAY,
         settings.fleet().zone(),
         0,
-        life,
+        incarnation,
         loadExchange.address(),
         settings.callersListen().toString(),
         isReady(),
@@ -207,15 +209,15 @@
   }
 
   @Override
-  public void reload(FleetSettings changed) {
-    contacts.setSeeds(changed.seedAddresses());
-    EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", changed.seedAddresses());
+  public void reload(FleetSettings newSettings) {
+    contacts.setSeeds(newSettings.seedAddresses());
+    EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", newSettings.seedAddresses());
   }
 
   /**
-   * Stops as planned: no longer ready at once, serving on until callers have heard of it, then
-   * answering what is in progress. Engines' answers are delivered until the time of the stop is
-   * over. A second stop changes nothing.
+   * Shuts down gracefully: reports not ready at once, keeps serving for the minimum drain time so
+   * that callers learn of it, then drains requests in progress until the drain timeout. Further
+   * calls have no effect.
    */
   @Override
   public void close() {
@@ -237,7 +239,10 @@
         drained);
   }
 
-  /** Serves on until the directory's and the platform's answers no longer name this gateway. */
+  /**
+   * Keeps serving until the directory and the platform no longer list this gateway; returns false
+   * if interrupted.
+   */
   private boolean awaitMinDrain() {
     try {
       Thread.sleep(settings.minDrainMs());
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewaySettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewaySettings.java
@@ -12,14 +12,14 @@
 /**
  * The settings of a gateway.
  *
- * @param callersListen where callers connect
- * @param readinessListen where its readiness is asked
- * @param drainMs how long a planned stop may take
- * @param minDrainMs how long a planned stop serves on at least, until callers have heard of it
- * @param cores processor time that the gateway may use, in cores; 0 when not told
- * @param shareLoad whether calls under way are told to the zone's gateways also when no engine says
- *     that it shares its machine
- * @param memoryBudgetMb the most that is kept in memory for callers; 0 bounds request bodies only
+ * @param callersListen the address for callers
+ * @param readinessListen the address for readiness checks
+ * @param drainMs the most time that a graceful shutdown takes
+ * @param minDrainMs how long a graceful shutdown keeps serving at least, until callers know of it
+ * @param cores the processor cores that the gateway may use; 0 if unknown
+ * @param shareLoad whether to share in-flight calls with the zone's gateways even if no engine
+ *     reports that it shares its machine
+ * @param memoryBudgetMb the memory limit for callers' data; 0 limits request bodies only
  */
 public record GatewaySettings(
     FleetSettings fleet,
@@ -35,23 +35,24 @@
   private static final int MAX_BUDGET_MB = 65_536;
   private static final long BYTES_PER_MB = 1 << 20;
 
-  /** The most that is kept in memory for callers; 0 bounds request bodies only. */
+  /** Returns the memory limit for callers' data; 0 limits request bodies only. */
   long memoryBudgetBytes() {
     return memoryBudgetMb * BYTES_PER_MB;
   }
 
-  /** The limits of the settings, each replaced where a configuration states one. */
-  HttpLimits effectiveLimits(CallerLimits stated) {
-    int maxBodyBytes = stated.maxBodyBytes() > 0 ? stated.maxBodyBytes() : limits.maxBodyBytes();
+  /** Returns the limits of these settings, overridden by those that a configuration states. */
+  HttpLimits effectiveLimits(CallerLimits overrides) {
+    int maxBodyBytes =
+        overrides.maxBodyBytes() > 0 ? overrides.maxBodyBytes() : limits.maxBodyBytes();
     return new HttpLimits(
-        stated.maxHeaderBytes() > 0 ? stated.maxHeaderBytes() : limits.maxHeaderBytes(),
+        overrides.maxHeaderBytes() > 0 ? overrides.maxHeaderBytes() : limits.maxHeaderBytes(),
         maxBodyBytes,
         maxBodyBytes,
         limits.maxConnections(),
-        stated.idleTimeoutMs() > 0 ? stated.idleTimeoutMs() : limits.readTimeoutMs());
+        overrides.idleTimeoutMs() > 0 ? overrides.idleTimeoutMs() : limits.readTimeoutMs());
   }
 
-  /** Reads and checks the settings. */
+  /** Reads and validates the settings. */
   public static Result<GatewaySettings, SettingsError> read(SettingsReader reader) {
     int maxBody = reader.integer("max_body_bytes", 4 << 20, 1 << 10, 1 << 28);
     HttpLimits limits =
@@ -77,7 +78,7 @@
       reader.problem("share_load", "must be false with TLS, which does not cover datagrams");
     }
     if (settings.memoryBudgetMb() > 0 && settings.memoryBudgetBytes() < maxBody) {
-      reader.problem("memory_budget_mb", "must hold a body of max_body_bytes, or be 0");
+      reader.problem("memory_budget_mb", "must be 0 or large enough for max_body_bytes");
     }
     return reader.finish(settings);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/JobsGroupLocator.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/JobsGroupLocator.java
@@ -10,19 +10,19 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
 
-/** The ways to the groups that keep batch jobs. Thread-safe. */
+/** Finds the consensus groups that store batch jobs, and clients for them. Thread-safe. */
 final class JobsGroupLocator {
   /**
    * The group of a job.
    *
-   * @param group its number
-   * @param count how many groups there are
+   * @param group the number of the group
+   * @param count the number of groups
    */
   record JobsGroup(int group, int count, GroupClient client) {
     /**
-     * What the group may take of a limit over all groups; jobs are spread evenly by their ids.
+     * Returns the group's share of a limit over all groups; job ids spread jobs evenly.
      *
-     * @param limit the limit of all groups together; 0: no limit
+     * @param limit the limit of all groups together; 0 for no limit
      */
     long shareOf(long limit) {
       return limit <= 0 ? 0 : Math.max(1, limit / count);
@@ -40,7 +40,7 @@
     this.view = view;
   }
 
-  /** The group that keeps a job; empty while this gateway has not heard of any group. */
+  /** Returns the group that stores a job; empty until a group is known. */
   Optional<JobsGroup> groupOf(String jobId) {
     int count = view.get().jobsFounders().size();
     if (count == 0) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
@@ -14,12 +14,12 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Bounds what a gateway keeps in memory for its callers: bodies of requests, answers that are
- * collected and parts of streams that callers have not taken. Confined to the event loop.
+ * Limits the memory that a gateway uses for its callers: request bodies, buffered responses and
+ * stream data that callers have not read. Confined to the event loop.
  *
- * <p>It answers large bodies, floods and callers that read slowly. Beyond the bound the costliest
- * to keep is given up first: the largest holding of the tenant that holds most. So a tenant that
- * floods loses its own requests before it touches those of others.
+ * <p>It protects against large bodies, floods and slow readers. Above the limit, the largest
+ * reservation of the tenant with the most memory is evicted first, so a flooding tenant loses its
+ * own requests before those of others.
  */
 final class MemoryBudget {
   private static final EventLog EVENTS = EventLog.of(MemoryBudget.class);
@@ -27,7 +27,7 @@
   private final long maxBytes;
   private final MemoryMetrics metrics;
 
-  /** The holdings that are not empty. */
+  /** Only reservations that are not empty. */
   private final Set<Reservation> reservations = new LinkedHashSet<>();
 
   private long heldBytes;
@@ -37,7 +37,7 @@
     this.metrics = metrics;
   }
 
-  /** What one connection will hold. */
+  /** Opens an empty reservation for one connection. */
   HeldMemory open() {
     return new Reservation();
   }
@@ -46,44 +46,48 @@
     return heldBytes;
   }
 
-  /** What the requests of a tenant hold. */
+  /** Returns the bytes reserved by one tenant's requests. */
   long heldBytes(String tenant) {
     return reservations.stream()
-        .filter(holding -> holding.tenant.equals(tenant))
+        .filter(reservation -> reservation.tenant.equals(tenant))
         .mapToLong(Reservation::bytes)
         .sum();
   }
 
-  /** Makes room after {@code asking} has grown; returns whether it may stay. */
-  private boolean makeRoom(Reservation asking) {
-    List<Evicted> others = new ArrayList<>();
-    boolean stays = true;
-    while (heldBytes > maxBytes && stays) {
-      Optional<Reservation> costliest = evictionCandidate();
-      stays = costliest.isPresent() && costliest.get() != asking;
-      if (stays) {
-        others.add(costliest.get().evict());
+  /**
+   * Evicts until the budget holds after {@code requester} has grown; returns false if it would be
+   * next itself.
+   */
+  private boolean makeRoom(Reservation requester) {
+    List<Evicted> evicted = new ArrayList<>();
+    boolean fits = true;
+    while (heldBytes > maxBytes && fits) {
+      Optional<Reservation> candidate = evictionCandidate();
+      fits = candidate.isPresent() && candidate.get() != requester;
+      if (fits) {
+        evicted.add(candidate.get().evict());
       }
     }
-    others.forEach(this::notifyOwner);
-    return stays;
+    evicted.forEach(this::notifyOwner);
+    return fits;
   }
 
   private Optional<Reservation> evictionCandidate() {
-    Map<String, Long> bytesOfTenants = new HashMap<>();
-    for (Reservation holding : reservations) {
-      if (holding.owner != null) {
-        bytesOfTenants.merge(holding.tenant, holding.bytes(), Long::sum);
+    Map<String, Long> bytesByTenant = new HashMap<>();
+    for (Reservation reservation : reservations) {
+      if (reservation.owner != null) {
+        bytesByTenant.merge(reservation.tenant, reservation.bytes(), Long::sum);
       }
     }
-    ToLongFunction<Reservation> bytesOfTenant = holding -> bytesOfTenants.get(holding.tenant);
+    ToLongFunction<Reservation> bytesOfTenant =
+        reservation -> bytesByTenant.get(reservation.tenant);
     return reservations.stream()
-        .filter(holding -> holding.owner != null)
+        .filter(reservation -> reservation.owner != null)
         .max(Comparator.comparingLong(bytesOfTenant).thenComparingLong(Reservation::bytes));
   }
 
-  private void notifyOwner(Evicted givenUp) {
-    recordEviction(givenUp.tenant(), givenUp.bytes(), givenUp.owner().giveUp());
+  private void notifyOwner(Evicted evicted) {
+    recordEviction(evicted.tenant(), evicted.bytes(), evicted.owner().giveUp());
   }
 
   private void recordEviction(String tenant, long bytes, boolean rejected) {
@@ -104,20 +108,22 @@
         rejected);
   }
 
-  private void applyChange(Reservation holding, long change) {
-    heldBytes += change;
+  private void applyChange(Reservation reservation, long deltaBytes) {
+    heldBytes += deltaBytes;
     metrics.setHeldBytes(heldBytes);
-    if (holding.bytes() > 0) {
-      reservations.add(holding);
+    if (reservation.bytes() > 0) {
+      reservations.add(reservation);
     } else {
-      reservations.remove(holding);
+      reservations.remove(reservation);
     }
   }
 
-  /** A holding that was taken out of the account, and whoever frees its memory. */
+  /** An evicted reservation and the owner that must free its memory. */
   private record Evicted(String tenant, long bytes, HeldMemory.Owner owner) {}
 
-  /** What one connection holds; after it was given up, until its end, it counts nothing. */
+  /**
+   * The memory of one connection. After an eviction it refuses further bytes until it is released.
+   */
   private final class Reservation implements HeldMemory {
     private String tenant = "";
     private Owner owner;
@@ -189,11 +195,11 @@
     }
 
     private Evicted evict() {
-      Evicted left = new Evicted(tenant, bytes(), owner);
+      Evicted result = new Evicted(tenant, bytes(), owner);
       clear();
       owner = null;
       evicted = true;
-      return left;
+      return result;
     }
 
     @Override
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryMetrics.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a gateway counts of the memory that it keeps for its callers. Thread-safe. */
+/** Metrics of the memory that a gateway keeps for its callers. Thread-safe. */
 final class MemoryMetrics {
   private final AtomicLong heldBytes = new AtomicLong();
   private final LongAdder rejected = new LongAdder();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/QueueMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/QueueMetrics.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a gateway counts of requests that wait for room at engines. Thread-safe. */
+/** Metrics of a gateway's request queues. Thread-safe. */
 final class QueueMetrics {
   private final AtomicInteger waiting = new AtomicInteger();
   private final LongAdder sentAfterWait = new LongAdder();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Refusals.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Refusals.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Refusals of requests that did not run, each with the time after which to come back. */
+/** Error responses to requests that did not run, with a {@code Retry-After} header. */
 final class Refusals {
   private static final double MILLIS_PER_SECOND = 1_000.0;
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestAuthorization.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestAuthorization.java
@@ -3,10 +3,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What lets a request be sent to engines.
+ * Authorization to send a request to engines.
  *
- * @param caller who sent the request
- * @param stillAllowed whether the newest configuration allows the request; asked before each send
- *     after the first one, and after a wait
+ * @param caller the identity of the caller
+ * @param stillAllowed whether the current configuration allows the request; checked before each
+ *     retry and after queueing
  */
 record RequestAuthorization(CallerIdentity caller, BooleanSupplier stillAllowed) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -19,40 +19,40 @@
 import java.util.function.Predicate;
 
 /**
- * Sends requests to engines, at once or in the order of the queue of their service; confined to the
+ * Sends requests to engines, immediately or in the order of their service's queue; confined to the
  * event loop.
  *
- * <p>Requests wait only where callers compete or engines tell their pace, and only while all
+ * <p>Requests are queued only if callers compete or engines report their pace, and only while all
  * engines of the service are known to be full.
  */
 final class RequestDispatcher {
-  /** A small part of the time for which a request waits. */
+  /** Short compared with the time that requests spend in the queue. */
   private static final long CHECK_INTERVAL_MS = 10;
 
-  /** More than a gateway is sent in the time for which a request waits. */
+  /** More than a gateway receives during the time for which a request is queued. */
   private static final int MAX_WAITING = 256;
 
   private static final long MAX_WAITING_BYTES = 16 << 20;
 
   /**
-   * When requests wait.
+   * Decides whether requests are queued.
    *
    * @param callersCompete whether the configuration lets callers compete
-   * @param reportsPace whether an engine tells how fast it works at present
+   * @param reportsPace whether an engine reports its current pace
    */
   record QueueingRule(BooleanSupplier callersCompete, Predicate<EngineState> reportsPace) {
-    /** Whether requests to these engines wait when there is no room. */
+    /** Returns whether requests to these engines are queued when all are full. */
     boolean appliesTo(List<EngineState> engines) {
       return callersCompete.getAsBoolean() || engines.stream().anyMatch(reportsPace);
     }
   }
 
-  /** Runs something later on the event loop. */
+  /** Schedules actions on the event loop. */
   interface Timer {
     void runAfter(long delayMs, Runnable action);
   }
 
-  /** What is kept for one service. */
+  /** Queue and statistics of one service. */
   private static final class ServiceState {
     final RequestQueue<Dispatchable> queue = new RequestQueue<>(MAX_WAITING, MAX_WAITING_BYTES);
     final ServiceTimes times = new ServiceTimes();
@@ -70,64 +70,68 @@
 
   RequestDispatcher(
       EngineTable engines,
-      QueueingRule when,
+      QueueingRule queueingRule,
       Timer timer,
       LongSupplier clockMs,
       QueueMetrics metrics) {
     this.engines = engines;
-    this.queueingRule = when;
+    this.queueingRule = queueingRule;
     this.timer = timer;
     this.clockMs = clockMs;
     this.metrics = metrics;
   }
 
-  /** Sends a request that does not wait yet, or lets it wait. */
+  /** Sends or queues a request that is not in the queue. */
   void submit(Dispatchable request) {
-    Dispatchable.DispatchAttributes needs = request.attributes();
-    List<EngineState> candidates = candidates(needs.service(), request.triedEngineIds());
+    Dispatchable.DispatchAttributes attributes = request.attributes();
+    List<EngineState> candidates = candidates(attributes.service(), request.triedEngineIds());
     if (!queueingRule.appliesTo(candidates)) {
       request.sendTo(candidates);
       return;
     }
-    ServiceState service = services.computeIfAbsent(needs.service(), added -> new ServiceState());
-    QueueDecision decision = decide(service, needs, QueuePolicy.Request.NOT_HELD, candidates);
-    if (decision instanceof QueueDecision.Reject reject) {
-      rejectTooLate(service, request, reject);
+    ServiceState service =
+        services.computeIfAbsent(attributes.service(), name -> new ServiceState());
+    QueueDecision decision = decide(service, attributes, QueuePolicy.Request.NOT_HELD, candidates);
+    if (decision instanceof QueueDecision.Reject rejection) {
+      rejectTooLate(service, request, rejection);
       return;
     }
     long untilMs =
         decision instanceof QueueDecision.Wait wait ? wait.untilMs() : clockMs.getAsLong();
-    enqueue(service, request, needs, untilMs);
+    enqueue(service, request, attributes, untilMs);
     dispatch(service);
   }
 
   private void enqueue(
       ServiceState service,
       Dispatchable request,
-      Dispatchable.DispatchAttributes needs,
+      Dispatchable.DispatchAttributes attributes,
       long holdUntilMs) {
-    List<WaitingRequest<Dispatchable>> givenWay =
+    List<WaitingRequest<Dispatchable>> evicted =
         service.queue.add(
             new WaitingRequest<>(
                 request,
-                needs.tenant(),
-                needs.rank(),
+                attributes.tenant(),
+                attributes.rank(),
                 clockMs.getAsLong(),
-                needs.dueMs(),
+                attributes.dueMs(),
                 holdUntilMs,
-                needs.bytes(),
-                needs.work()));
-    for (WaitingRequest<Dispatchable> waiting : givenWay) {
-      evict(service, waiting.request());
+                attributes.bytes(),
+                attributes.work()));
+    for (WaitingRequest<Dispatchable> entry : evicted) {
+      evict(service, entry.request());
     }
   }
 
-  /** A request that may have run cannot be rejected: it goes to an engine's queue. */
+  /**
+   * Rejects a request that the full queue displaced. One that may have run cannot be rejected and
+   * is sent to an engine's own queue.
+   */
   private void evict(ServiceState service, Dispatchable request) {
     metrics.onEvicted();
-    Dispatchable.DispatchAttributes needs = request.attributes();
-    List<EngineState> candidates = candidates(needs.service(), request.triedEngineIds());
-    if (needs.mayBeRejected()) {
+    Dispatchable.DispatchAttributes attributes = request.attributes();
+    List<EngineState> candidates = candidates(attributes.service(), request.triedEngineIds());
+    if (attributes.mayBeRejected()) {
       double waitMs = QueuePolicy.expectedWaitMs(rooms(candidates), service.times);
       reject(service, request, "too many requests wait", Math.round(waitMs));
     } else {
@@ -149,7 +153,7 @@
     request.reject(reason, retryAfterMs);
   }
 
-  /** The caller has left, or its time is over. */
+  /** Removes a request whose caller disconnected or whose deadline passed. */
   void remove(Dispatchable request) {
     ServiceState service = services.get(request.attributes().service());
     if (service != null && service.queue.remove(request)) {
@@ -157,20 +161,20 @@
     }
   }
 
-  /** An engine began an answer and told its load perhaps: there may be room. */
-  void onFirstBytes(String service, AttemptTracker use) {
-    ServiceState known = services.get(service);
-    if (known != null && use.hadFreeSlot()) {
-      known.times.onFirstBytes(use.timeToFirstByteMs());
+  /** Handles the start of an engine's response, which may report free capacity. */
+  void onFirstBytes(String service, AttemptTracker attempt) {
+    ServiceState state = services.get(service);
+    if (state != null && attempt.hadFreeSlot()) {
+      state.times.onFirstBytes(attempt.timeToFirstByteMs());
     }
     scheduleDispatch();
   }
 
-  /** A request has left its engine: there may be room. */
-  void onSlotFreed(String service, AttemptTracker use) {
-    ServiceState known = services.get(service);
-    if (known != null && use.hasResponse()) {
-      known.times.onSlotFreed(use.respondingMs(clockMs.getAsLong()));
+  /** Handles the end of an attempt, which frees a slot of the engine. */
+  void onSlotFreed(String service, AttemptTracker attempt) {
+    ServiceState state = services.get(service);
+    if (state != null && attempt.hasResponse()) {
+      state.times.onSlotFreed(attempt.respondingMs(clockMs.getAsLong()));
     }
     scheduleDispatch();
   }
@@ -198,8 +202,8 @@
   }
 
   /**
-   * Sends waiting requests in their order while there is room or one has waited long enough. Those
-   * before that one go too: engines' queues keep the order.
+   * Sends queued requests in order while an engine has room or any request is overdue. Requests
+   * ahead of an overdue one are sent first, since the engines' queues keep the order.
    */
   private void dispatch(ServiceState service) {
     Optional<WaitingRequest<Dispatchable>> next = service.queue.peek();
@@ -212,16 +216,16 @@
 
   private boolean sendIfReady(ServiceState service, WaitingRequest<Dispatchable> next) {
     Dispatchable request = next.request();
-    Dispatchable.DispatchAttributes needs = request.attributes();
-    List<EngineState> candidates = candidates(needs.service(), request.triedEngineIds());
-    QueueDecision decision = decide(service, needs, next.holdUntilMs(), candidates);
+    Dispatchable.DispatchAttributes attributes = request.attributes();
+    List<EngineState> candidates = candidates(attributes.service(), request.triedEngineIds());
+    QueueDecision decision = decide(service, attributes, next.holdUntilMs(), candidates);
     boolean overdue = service.queue.hasExpiredHold(clockMs.getAsLong());
     if (decision instanceof QueueDecision.Wait && !overdue) {
       return false;
     }
     service.queue.poll();
-    if (decision instanceof QueueDecision.Reject reject) {
-      rejectTooLate(service, request, reject);
+    if (decision instanceof QueueDecision.Reject rejection) {
+      rejectTooLate(service, request, rejection);
       return true;
     }
     if (clockMs.getAsLong() > next.sinceMs()) {
@@ -233,26 +237,26 @@
 
   private QueueDecision decide(
       ServiceState service,
-      Dispatchable.DispatchAttributes needs,
+      Dispatchable.DispatchAttributes attributes,
       long holdUntilMs,
       List<EngineState> candidates) {
     QueuePolicy.Request request =
         new QueuePolicy.Request(
-            needs.dueMs(), needs.deadlineMs(), holdUntilMs, needs.mayBeRejected());
+            attributes.dueMs(), attributes.deadlineMs(), holdUntilMs, attributes.mayBeRejected());
     return QueuePolicy.decide(request, rooms(candidates), service.times, clockMs.getAsLong());
   }
 
-  private List<EngineState> candidates(String service, Set<String> tried) {
+  private List<EngineState> candidates(String service, Set<String> excludedIds) {
     long nowMs = clockMs.getAsLong();
-    List<EngineState> usable = engines.usable(service, tried, nowMs);
-    return usable.isEmpty() ? engines.inService(service, tried, nowMs) : usable;
+    List<EngineState> usable = engines.usable(service, excludedIds, nowMs);
+    return usable.isEmpty() ? engines.inService(service, excludedIds, nowMs) : usable;
   }
 
   private List<EngineCapacity> rooms(List<EngineState> candidates) {
     return candidates.stream().map(this::room).toList();
   }
 
-  /** The engines that may have room, or all when none may. */
+  /** Returns the engines that may have room, or all if none has. */
   private List<EngineState> preferred(List<EngineState> candidates) {
     List<EngineState> notFull =
         candidates.stream().filter(engine -> !room(engine).isKnownFull()).toList();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -23,20 +23,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings one request to an engine and its answer back; confined to the event loop.
+ * Forwards one request to an engine and its response to the caller; confined to the event loop.
  *
- * <p>The answer keeps the head of the first engine that began it. A stream that breaks off goes on
- * at another engine after the last whole event, when its route allows that.
+ * <p>The response keeps the head of the first engine that started it. If the route allows it, an
+ * interrupted stream is resumed at another engine after the last complete event.
  */
 final class RequestForwarder implements Dispatchable {
   private static final int SERVER_ERROR = 500;
 
-  /** For how long coordinators hold a request back after they found that engines end under it. */
+  /** How long coordinators quarantine a request under which engines crashed. */
   private static final long QUARANTINE_RETRY_AFTER_MS = 600_000;
 
   private static final String MEMORY_EXHAUSTED = "memory for callers is short";
 
-  /** Callers that come back sooner find the memory in use by the same slow ones. */
+  /** Earlier retries would find the memory still in use by the same slow callers. */
   private static final long MEMORY_RETRY_AFTER_MS = 1_000;
 
   private static final long NOT_WAITING = -1;
@@ -64,31 +64,31 @@
   private long waitedMs;
 
   RequestForwarder(
-      ForwardingContext shared,
+      ForwardingContext context,
       HttpExchange exchange,
       CallerRequest.Routed request,
       RouteSpec route,
       String service,
       long routesVersion,
-      RequestAuthorization permission,
+      RequestAuthorization authorization,
       long nowMs) {
     this.routesVersion = routesVersion;
-    this.authorization = permission;
+    this.authorization = authorization;
     this.startMs = nowMs;
-    this.context = shared;
+    this.context = context;
     this.exchange = exchange;
     this.request = request;
     this.prompt = Prompt.of(request.promptTokens(), request.promptParts());
     this.route = route;
     this.service = service;
     this.lastEventId = request.resumeAfter();
-    this.budget = new AttemptBudget(route, shared.settings().maxSends());
+    this.budget = new AttemptBudget(route, context.settings().maxSends());
     this.log = new RequestLog(request.requestId(), route.name(), budget);
     long waitMs = route.timeoutMs();
     if (request.deadlineMs() > 0) {
       waitMs = Math.min(waitMs, request.deadlineMs());
     }
-    this.deadlineMs = nowMs + Math.max(1, waitMs - shared.settings().responseMarginMs());
+    this.deadlineMs = nowMs + Math.max(1, waitMs - context.settings().responseMarginMs());
   }
 
   private static long nowMs() {
@@ -135,9 +135,9 @@
   @Override
   public void sendTo(List<EngineState> candidates) {
     long now = nowMs();
-    boolean waited = now > waitingSinceMs;
+    boolean wasQueued = now > waitingSinceMs;
     endWait(now);
-    if (waited && !authorization.stillAllowed().getAsBoolean()) {
+    if (wasQueued && !authorization.stillAllowed().getAsBoolean()) {
       finishUnserved("the configuration does not allow the request any more");
       return;
     }
@@ -166,7 +166,7 @@
 
   private void retryOrFinish(boolean didNotRun, String reason) {
     if (attempt != null) {
-      attempt.bufferedResponse.discard();
+      attempt.body.discard();
       attempt = null;
     }
     if (didNotRun) {
@@ -182,7 +182,7 @@
     }
   }
 
-  /** Called regularly: an engine that is silent for too long is given up where that is allowed. */
+  /** Called periodically; abandons an engine that is silent too long if a retry is allowed. */
   void checkSilence(long nowMs) {
     if (finished || attempt == null || isReadPaused(nowMs)) {
       return;
@@ -200,7 +200,7 @@
     }
   }
 
-  /** Whether the answer is not read now since the caller takes it slowly. */
+  /** Returns whether reading is paused for a slow caller; resumes it if possible. */
   private boolean isReadPaused(long nowMs) {
     boolean paused = attempt != null && attempt.flowControl.isPaused();
     if (paused && attempt.flowControl.update(nowMs)) {
@@ -209,14 +209,14 @@
     return paused && attempt.flowControl.isPaused();
   }
 
-  // ---- ends
+  // ---- completion
 
   private void cancelAndFinish(String reason) {
     cancelAttempt();
     finishUnserved(reason);
   }
 
-  /** Frees what the request keeps in memory; returns whether it is rejected as not run. */
+  /** Releases the memory of the request; returns whether it is rejected as not run. */
   private boolean evict() {
     if (finished) {
       exchange.breakOff();
@@ -256,7 +256,7 @@
     Refusals.unavailable(exchange, reason, retryAfterMs);
   }
 
-  /** Engines end under the request: it goes to none, and its caller hears so at once. */
+  /** Ends a quarantined request, under which engines crash, at once and without a retry. */
   private void onQuarantined(String reason) {
     attempt = null;
     budget.onNotRun();
@@ -311,14 +311,14 @@
     context.dispatcher().remove(this);
   }
 
-  /** One send of the request to one engine. */
+  /** One attempt to serve the request at one engine. */
   private final class Attempt implements EngineListener {
     private final AttemptTracker tracker;
-    private final BufferedResponse bufferedResponse = new BufferedResponse(exchange.memory());
+    private final BufferedResponse body = new BufferedResponse(exchange.memory());
     private final ResponseFlowControl flowControl =
         new ResponseFlowControl(exchange, context.metrics().memory());
     private EngineTransport.Handle handle;
-    private EngineResponse responseHead;
+    private EngineResponse response;
     private SseEventScanner scanner;
     private long lastProgressMs;
     private boolean ended;
@@ -350,7 +350,7 @@
               Math.max(1, deadlineMs - lastProgressMs),
               lastEventId);
       handle = context.transport().start(call, this);
-      flowControl.begin(handle);
+      flowControl.attach(handle);
     }
 
     private boolean isStream() {
@@ -368,12 +368,12 @@
         return;
       }
       recordProgress();
-      long tokensReadPerMs = context.settings().prefillTokensPerMs();
-      long waitMs = tracker.onFirstBytes(tokensReadPerMs, head.load(), lastProgressMs);
+      long prefillTokensPerMs = context.settings().prefillTokensPerMs();
+      long waitMs = tracker.onFirstBytes(prefillTokensPerMs, head.load(), lastProgressMs);
       context.silenceTimeout().onFirstBytes(waitMs);
       context.dispatcher().onFirstBytes(service, tracker);
-      responseHead = head;
-      if (responseHead.isSuccess() && isStream() && !headSent) {
+      response = head;
+      if (response.isSuccess() && isStream() && !headSent) {
         headSent = true;
         timeToFirstByteMs = lastProgressMs - startMs;
         exchange.startStream(head.status(), head.headers());
@@ -386,8 +386,8 @@
         return;
       }
       recordProgress();
-      if (!responseHead.isSuccess() || !isStream()) {
-        if (!bufferedResponse.add(part)) {
+      if (!response.isSuccess() || !isStream()) {
+        if (!body.add(part)) {
           cancelAndFinish(MEMORY_EXHAUSTED);
         }
         return;
@@ -414,7 +414,7 @@
         return;
       }
       end();
-      if (responseHead.isSuccess()) {
+      if (response.isSuccess()) {
         onSuccess();
       } else {
         onErrorResponse();
@@ -426,8 +426,7 @@
         timeToFirstByteMs = nowMs() - startMs;
         logServed();
         finishServed();
-        exchange.send(
-            responseHead.status(), responseHead.headers(), bufferedResponse.toByteArray());
+        exchange.send(response.status(), response.headers(), body.toByteArray());
       } else if (scanner.hasPartialEvent()) {
         engine().onFailure(nowMs());
         retryOrFinish(false, "the stream ended inside an event");
@@ -447,20 +446,19 @@
 
     private void onErrorResponse() {
       long now = nowMs();
-      if (responseHead.wrongInstance()) {
+      if (response.wrongInstance()) {
         engine().onGone();
         retryOrFinish(true, "another engine has the address");
-      } else if (responseHead.notRun()) {
-        engine().onFull(now, Math.max(responseHead.retryAfterMs(), 50));
-        retryOrFinish(true, "the engine refused with " + responseHead.status());
-      } else if (responseHead.status() >= SERVER_ERROR && budget.mayRetry()) {
-        retryOrFinish(false, "the engine answered " + responseHead.status());
+      } else if (response.notRun()) {
+        engine().onFull(now, Math.max(response.retryAfterMs(), 50));
+        retryOrFinish(true, "the engine refused with " + response.status());
+      } else if (response.status() >= SERVER_ERROR && budget.mayRetry()) {
+        retryOrFinish(false, "the engine answered " + response.status());
       } else if (headSent) {
-        finishUnserved("the engine answered " + responseHead.status());
+        finishUnserved("the engine answered " + response.status());
       } else {
         finish(RequestMetrics.Outcome.FAILED);
-        exchange.send(
-            responseHead.status(), responseHead.headers(), bufferedResponse.toByteArray());
+        exchange.send(response.status(), response.headers(), body.toByteArray());
       }
     }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestLog.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestLog.java
@@ -5,18 +5,18 @@
 import io.pathdeck.fleet.engine.EngineFailure;
 import java.util.Locale;
 
-/** The log lines about one request and its attempts. */
+/** Logs events of one request and its attempts. */
 final class RequestLog {
   private static final EventLog EVENTS = EventLog.of(RequestLog.class);
 
   /**
-   * How a request was served.
+   * Details of a served request.
    *
-   * @param engineId the engine that ended the answer
-   * @param estimatedLoad the engine's load as it was believed at the choice
-   * @param loadAgeMs how old that belief was
-   * @param msPerEvent how long an event takes at the engine, as its streams here showed it
-   * @param waitedMs how long the request waited here for room at engines
+   * @param engineId the engine that completed the response
+   * @param estimatedLoad the engine's estimated load when it was chosen
+   * @param loadAgeMs the age of the load report behind that estimate
+   * @param msPerEvent the engine's mean time per event, as measured by this gateway
+   * @param waitedMs how long the request was queued in this gateway
    */
   record Served(
       long routesVersion,
@@ -28,22 +28,21 @@
       long timeToFirstByteMs,
       long totalMs,
       long lastEvent) {
-    /** Served by the engine of {@code use}. */
     static Served by(
-        AttemptTracker use,
+        AttemptTracker attempt,
         long routesVersion,
         long waitedMs,
-        long firstMs,
+        long timeToFirstByteMs,
         long totalMs,
         long lastEvent) {
       return new Served(
           routesVersion,
-          use.engine().instance().id(),
-          use.estimatedLoad(),
-          use.loadAgeMs(),
-          use.engine().pace().msPerEvent(),
+          attempt.engine().instance().id(),
+          attempt.estimatedLoad(),
+          attempt.loadAgeMs(),
+          attempt.engine().pace().msPerEvent(),
           waitedMs,
-          firstMs,
+          timeToFirstByteMs,
           totalMs,
           lastEvent);
     }
@@ -59,7 +58,7 @@
     this.budget = budget;
   }
 
-  void served(Served how) {
+  void served(Served served) {
     EVENTS.log(
         EventCode.REQUEST_SERVED,
         "request",
@@ -67,25 +66,25 @@
         "route",
         route,
         "routes_version",
-        how.routesVersion(),
+        served.routesVersion(),
         "engine",
-        how.engineId(),
+        served.engineId(),
         "load",
-        String.format(Locale.ROOT, "%.1f", how.estimatedLoad()),
+        String.format(Locale.ROOT, "%.1f", served.estimatedLoad()),
         "load_age_ms",
-        how.loadAgeMs(),
+        served.loadAgeMs(),
         "event_ms",
-        String.format(Locale.ROOT, "%.1f", how.msPerEvent()),
+        String.format(Locale.ROOT, "%.1f", served.msPerEvent()),
         "sends",
         budget.sends(),
         "waited_ms",
-        how.waitedMs(),
+        served.waitedMs(),
         "first_ms",
-        how.timeToFirstByteMs(),
+        served.timeToFirstByteMs(),
         "total_ms",
-        how.totalMs(),
+        served.totalMs(),
         "last_event",
-        how.lastEvent());
+        served.lastEvent());
   }
 
   void refused(String reason, long waitedMs) {
@@ -104,7 +103,9 @@
   }
 
   /**
-   * The request failed; {@code key} and {@code value} say with which status or after which event.
+   * Logs a failed request.
+   *
+   * @param key the log field of {@code value}: the status sent or the last event delivered
    */
   void failed(String reason, String key, long value) {
     EVENTS.log(
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestMetrics.java
@@ -10,9 +10,8 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a gateway counts of its callers' requests, by the kind of their route. Thread-safe. */
+/** Metrics of callers' requests, by kind of route. Thread-safe. */
 final class RequestMetrics {
-  /** How a request ended. */
   enum Outcome {
     SERVED,
     REFUSED,
@@ -20,7 +19,7 @@
     CALLER_LEFT
   }
 
-  /** One kind of route. */
+  /** Metrics of one kind of route. */
   private static final class KindMetrics {
     final Map<Outcome, LongAdder> outcomes = new EnumMap<>(Outcome.class);
     final LatencyHistogram timeToFirstByteMs = new LatencyHistogram();
@@ -44,12 +43,10 @@
     }
   }
 
-  /** What is counted of requests that wait. */
   QueueMetrics queue() {
     return queue;
   }
 
-  /** What is counted of the memory that is kept for callers. */
   MemoryMetrics memory() {
     return memory;
   }
@@ -58,9 +55,9 @@
     attempts.increment();
   }
 
-  void onServed(RouteKind kind, long firstMs, long totalMs) {
+  void onServed(RouteKind kind, long timeToFirstByteMs, long totalMs) {
     onEnd(kind, Outcome.SERVED);
-    kinds.get(kind).timeToFirstByteMs.record(firstMs);
+    kinds.get(kind).timeToFirstByteMs.record(timeToFirstByteMs);
     kinds.get(kind).totalMs.record(totalMs);
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestWork.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestWork.java
@@ -2,17 +2,19 @@
 
 import io.pathdeck.fleet.adapter.CallerRequest;
 
-/** How much of an engine a request needs, so that tenants share engines and not mere counts. */
+/**
+ * Estimates the cost of a request, so that tenants share engines by work and not by request count.
+ */
 final class RequestWork {
-  /** An engine makes output tokens one by one, and reads those of a prompt together. */
+  /** Engines generate output tokens one by one but process prompt tokens together. */
   private static final double PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
 
-  /** Holds also for a request that states no tokens. */
+  /** Also applies to requests that state no tokens. */
   private static final double MIN_OUTPUT_TOKENS = 10;
 
   private RequestWork() {}
 
-  /** In output tokens. */
+  /** Returns the cost in output tokens. */
   static double of(CallerRequest.Routed request) {
     double promptWork = request.promptTokens() / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
     return MIN_OUTPUT_TOKENS + promptWork + request.outputTokens();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ResponseFlowControl.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ResponseFlowControl.java
@@ -4,8 +4,9 @@
 import io.pathdeck.serving.http.HttpExchange;
 
 /**
- * Reads the stream of one send no faster than the caller takes it, where answers count against a
- * memory budget; confined to the event loop.
+ * Applies backpressure to the response stream of one attempt: pauses reads from the engine while
+ * the caller is slow. Active only if responses count against a memory budget. Confined to the event
+ * loop.
  */
 final class ResponseFlowControl {
   private final HttpExchange exchange;
@@ -18,29 +19,29 @@
     this.metrics = metrics;
   }
 
-  /** The call whose answer is read. */
-  void begin(EngineTransport.Handle started) {
-    handle = started;
+  /** Sets the engine call to control. */
+  void attach(EngineTransport.Handle call) {
+    handle = call;
   }
 
-  /** Whether the caller's slowness holds the answer back, so that silence tells nothing. */
+  /** Returns whether reads are paused; silence of the engine is then no sign of failure. */
   boolean isPaused() {
     return readPause.isPaused();
   }
 
-  /** Pauses or goes on; returns whether reading has just gone on. */
+  /** Pauses or resumes reading; returns whether reading was resumed by this call. */
   boolean update(long nowMs) {
     if (!exchange.memory().countsAnswers()) {
       return false;
     }
-    boolean before = readPause.isPaused();
+    boolean wasPaused = readPause.isPaused();
     boolean paused = readPause.update(exchange.pendingBytes(), nowMs);
-    if (paused && !before) {
+    if (paused && !wasPaused) {
       metrics.onReadPaused();
       handle.pauseReading();
-    } else if (before && !paused) {
+    } else if (wasPaused && !paused) {
       handle.resumeReading();
     }
-    return before && !paused;
+    return wasPaused && !paused;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/StartupRetryDelay.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/StartupRetryDelay.java
@@ -3,37 +3,36 @@
 import io.pathdeck.fleet.member.StartProgress;
 
 /**
- * When callers that a gateway refuses at its start should come back.
+ * Computes when callers that are refused during the gateway's startup should retry.
  *
- * <p>A caller that comes back too early is refused again, and one that is told a longer time than
- * it may wait comes back when it likes. All callers of a fleet that starts are refused within a
- * second or two, so their returns are spread.
+ * <p>A caller that retries too early is refused again, and one whose remaining time is shorter than
+ * the delay ignores it. When a fleet starts, all callers are refused within a second or two, so
+ * their retries are spread.
  */
 final class StartupRetryDelay {
-  /** How long after its start a gateway has usually heard from the coordinators. */
+  /** Typical time from the start of a gateway to the first response of a coordinator. */
   static final long TYPICAL_STARTUP_MS = 1_400;
 
-  /** The longest wait of a replica before it campaigns; most elections are over by then. */
+  /** The longest election timeout of a replica; most elections are over by then. */
   static final long MAX_ELECTION_TIMEOUT_MS = 1_200;
 
-  /** A read of the list of engines and two reports of this gateway. */
+  /** Time for a read of the engine list and two reports of this gateway. */
   static final long ENGINE_LIST_MS = 200;
 
-  /** The least time to come back while no leader is heard: some heartbeats of a new leader. */
+  /** Least delay while no leader is known: some heartbeats of a new leader. */
   static final long MIN_DELAY_MS = 300;
 
-  /** Over how long the returns are spread. */
   static final long JITTER_MS = 600;
 
-  /** Callers wait for a return no longer than this part of the time that they have left. */
+  /** Callers accept a delay of at most their time divided by this. */
   private static final long DEADLINE_DIVISOR = 3;
 
   private StartupRetryDelay() {}
 
   /**
-   * The time after which to come back.
+   * Returns the delay until the retry.
    *
-   * @param deadlineMs how long the caller waits in all; 0 when it did not say
+   * @param deadlineMs how long the caller waits in total; 0 if unknown
    * @param random from 0 to 1, different for each caller
    */
   static long retryAfterMs(StartProgress progress, long deadlineMs, double random) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
@@ -14,22 +14,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/**
- * Keeps tenants within their limits together with all other gateways; confined to the event loop.
- */
+/** Enforces tenants' rate limits together with all other gateways; confined to the event loop. */
 final class TenantLimiter {
-  /** What became of a request. */
   enum Outcome {
     ADMITTED,
     OVER_LIMIT,
 
-    /** Whether the request fits into the limit cannot be told now. */
+    /** It cannot be determined now whether the limit has room. */
     UNDECIDED
   }
 
   /**
-   * How long a request waits for the leader's word. An answer takes two one-way delays, some 2 ms;
-   * a frozen or lost leader must not cost a caller more than half of a usual objective of 300 ms.
+   * How long a request waits for the leader's decision. A reply takes about 2 ms; an unresponsive
+   * leader must not cost a caller more than half of a usual latency target of 300 ms.
    */
   private static final long ASK_TIMEOUT_MS = 150;
 
@@ -40,11 +37,15 @@
   private final AdmissionController admissionController;
 
   TenantLimiter(
-      EventLoop eventLoop, GroupClient coordinators, String gateway, long life, long windowMs) {
+      EventLoop eventLoop,
+      GroupClient coordinators,
+      String gateway,
+      long incarnation,
+      long windowMs) {
     this.eventLoop = eventLoop;
     this.coordinators = coordinators;
     this.gateway = gateway;
-    this.incarnation = life;
+    this.incarnation = incarnation;
     this.admissionController = new AdmissionController(windowMs, nowMs());
   }
 
@@ -52,50 +53,50 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Tells {@code decided} whether the tenant's limit has room for one more request. */
-  void admit(CallerTenant tenant, Consumer<Outcome> decided) {
+  /** Passes {@code callback} whether the tenant's limit has room for one more request. */
+  void admit(CallerTenant tenant, Consumer<Outcome> callback) {
     if (!tenant.isLimited()) {
-      decided.accept(Outcome.ADMITTED);
+      callback.accept(Outcome.ADMITTED);
       return;
     }
     switch (admissionController.decide(tenant.name(), nowMs())) {
-      case ADMIT -> admitted(tenant.name(), decided);
-      case REFUSE -> decided.accept(Outcome.OVER_LIMIT);
-      case ASK_LEADER -> askLeader(tenant.name(), decided);
-      default -> decided.accept(Outcome.UNDECIDED);
+      case ADMIT -> admitted(tenant.name(), callback);
+      case REFUSE -> callback.accept(Outcome.OVER_LIMIT);
+      case ASK_LEADER -> askLeader(tenant.name(), callback);
+      default -> callback.accept(Outcome.UNDECIDED);
     }
   }
 
-  private void askLeader(String tenant, Consumer<Outcome> decided) {
+  private void askLeader(String tenant, Consumer<Outcome> callback) {
     coordinators
         .call(new AdmissionRequest(gateway, incarnation, tenant), ASK_TIMEOUT_MS, ASK_TIMEOUT_MS)
-        .thenAcceptAsync(answer -> onAnswer(tenant, answer, decided), eventLoop);
+        .thenAcceptAsync(reply -> onReply(tenant, reply, callback), eventLoop);
   }
 
-  private void onAnswer(
-      String tenant, Result<Message, GroupCallError> answer, Consumer<Outcome> decided) {
-    boolean answered = answer.isOk() && answer.value() instanceof AdmissionReply;
-    if (answered && !((AdmissionReply) answer.value()).admitted()) {
+  private void onReply(
+      String tenant, Result<Message, GroupCallError> reply, Consumer<Outcome> callback) {
+    boolean replied = reply.isOk() && reply.value() instanceof AdmissionReply;
+    if (replied && !((AdmissionReply) reply.value()).admitted()) {
       admissionController.onRefused(tenant, nowMs());
-      decided.accept(Outcome.OVER_LIMIT);
-    } else if (answered || admissionController.mayAdmitWithoutLeader(tenant, nowMs())) {
-      admitted(tenant, decided);
+      callback.accept(Outcome.OVER_LIMIT);
+    } else if (replied || admissionController.mayAdmitWithoutLeader(tenant, nowMs())) {
+      admitted(tenant, callback);
     } else {
-      decided.accept(Outcome.UNDECIDED);
+      callback.accept(Outcome.UNDECIDED);
     }
   }
 
-  private void admitted(String tenant, Consumer<Outcome> decided) {
+  private void admitted(String tenant, Consumer<Outcome> callback) {
     admissionController.onAdmitted(tenant, nowMs());
-    decided.accept(Outcome.ADMITTED);
+    callback.accept(Outcome.ADMITTED);
   }
 
-  /** The leader told which tenants are near their limits. */
-  void onContendedTenants(List<String> contended) {
-    admissionController.onContendedTenants(contended, nowMs());
+  /** Updates the tenants that the leader reports as near their limits. */
+  void onContendedTenants(List<String> tenants) {
+    admissionController.onContendedTenants(tenants, nowMs());
   }
 
-  /** What to tell the leader. */
+  /** Returns the usage to report to the leader. */
   List<TenantUse> tenantUses() {
     return admissionController.tenantUses(nowMs());
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
@@ -10,39 +10,40 @@
 import java.util.Set;
 
 /**
- * What one gateway admits of limited tenants; confined to one thread.
+ * Admits requests of rate-limited tenants at one gateway; confined to one thread.
  *
- * <p>A tenant far below its limit is admitted at once. A contended one, near its limit, is admitted
- * request by request by the leading coordinator. While the leader does not answer, a gateway admits
- * no more of a contended tenant than it had in its window when the leader was heard last, so the
- * fleet as a whole stays where it was.
+ * <p>Requests of a tenant far below its limit are admitted locally. Those of a contended tenant,
+ * near its limit, are decided one by one by the leading coordinator. While the leader does not
+ * respond, a gateway admits no more of a contended tenant than its window held at the leader's last
+ * update, so that the total of the fleet does not grow.
  */
 public final class AdmissionController {
-  /** What to do with a request. */
+  /** The decision about a request. */
   public enum Decision {
     ADMIT,
     ASK_LEADER,
 
-    /** The leader has just refused a request of the tenant. */
+    /** The leader recently refused a request of the tenant. */
     REFUSE,
 
-    /** The leader was not heard for so long that the fleet may be at the limit. */
+    /** The leader has been silent for so long that the fleet may be at the limit. */
     UNDECIDED
   }
 
   /**
-   * How long requests are refused without a question after the leader refused one. A place frees
-   * every few ms for a large tenant; a caller that floods costs one question in this time.
+   * How long a refusal by the leader applies to further requests, so that a flood costs one query
+   * per period. For a large tenant, room for a request frees every few milliseconds.
    */
   private static final long REFUSAL_TTL_MS = 50;
 
   /**
-   * How long after the leader's last word a tenant that was not contended is admitted freely. Later
-   * a gateway admits at most twice what it held: the fleet was below half of the limit.
+   * How long after the leader's last update an uncontended tenant is admitted without bound. After
+   * that, a gateway admits at most twice what its window held, since the fleet was below half of
+   * the limit.
    */
   private static final long LEADER_UPDATE_TTL_MS = 1_000;
 
-  /** One tenant at this gateway. */
+  /** State of one tenant at this gateway. */
   private static final class TenantState {
     final SlidingWindowCounter admitted;
     int admittedAtLastUpdate;
@@ -59,22 +60,21 @@
   private long lastUpdateMs;
 
   /**
-   * Creates the admissions of a gateway.
+   * Creates a controller.
    *
-   * @param windowMs the span over which limits hold
+   * @param windowMs the length of the window over which limits apply
    */
   public AdmissionController(long windowMs, long nowMs) {
     this.windowMs = windowMs;
     this.lastUpdateMs = nowMs;
   }
 
-  /** Decides on a request of a limited tenant. */
   public Decision decide(String tenant, long nowMs) {
     if (!contended.contains(tenant)) {
       return mayAdmitLocally(tenant, nowMs) ? Decision.ADMIT : Decision.UNDECIDED;
     }
-    TenantState known = tenants.get(tenant);
-    boolean justRefused = known != null && nowMs < known.refusedUntilMs;
+    TenantState state = tenants.get(tenant);
+    boolean justRefused = state != null && nowMs < state.refusedUntilMs;
     return justRefused ? Decision.REFUSE : Decision.ASK_LEADER;
   }
 
@@ -82,27 +82,27 @@
     if (nowMs - lastUpdateMs <= LEADER_UPDATE_TTL_MS) {
       return true;
     }
-    TenantState known = tenant(tenant);
-    return known.admitted.total(nowMs) <= 2 * known.admittedAtLastUpdate;
+    TenantState state = tenant(tenant);
+    return state.admitted.total(nowMs) <= 2 * state.admittedAtLastUpdate;
   }
 
-  /** Whether to admit a request about which the leader was asked and did not answer. */
+  /** Returns whether to admit a request after the leader did not respond to a query about it. */
   public boolean mayAdmitWithoutLeader(String tenant, long nowMs) {
-    TenantState known = tenant(tenant);
-    return known.admitted.total(nowMs) < known.admittedAtLastUpdate;
+    TenantState state = tenant(tenant);
+    return state.admitted.total(nowMs) < state.admittedAtLastUpdate;
   }
 
-  /** A request was admitted and goes to an engine. */
+  /** Records that a request was admitted and is sent to an engine. */
   public void onAdmitted(String tenant, long nowMs) {
     tenant(tenant).admitted.add(nowMs);
   }
 
-  /** The leader refused a request. */
+  /** Records that the leader refused a request. */
   public void onRefused(String tenant, long nowMs) {
     tenant(tenant).refusedUntilMs = nowMs + REFUSAL_TTL_MS;
   }
 
-  /** The leader told which tenants are near their limits. */
+  /** Updates the contended tenants from the leader. */
   public void onContendedTenants(List<String> nearLimit, long nowMs) {
     contended = new HashSet<>(nearLimit);
     lastUpdateMs = nowMs;
@@ -111,7 +111,7 @@
     }
   }
 
-  /** What to tell the leader: the tenants of which something was admitted in the window. */
+  /** Returns the tenants with requests admitted in the window, to report to the leader. */
   public List<TenantUse> tenantUses(long nowMs) {
     List<TenantUse> uses = new ArrayList<>();
     Iterator<Map.Entry<String, TenantState>> entries = tenants.entrySet().iterator();
@@ -128,6 +128,6 @@
   }
 
   private TenantState tenant(String name) {
-    return tenants.computeIfAbsent(name, added -> new TenantState(windowMs));
+    return tenants.computeIfAbsent(name, key -> new TenantState(windowMs));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/SlidingWindowCounter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/SlidingWindowCounter.java
@@ -2,13 +2,13 @@
 
 import java.util.Arrays;
 
-/** Counts events in a window of time that ends now, to a resolution of a fiftieth of it. */
+/** Counts events in a sliding time window, with a resolution of a fiftieth of it. */
 final class SlidingWindowCounter {
   private static final int BUCKETS = 50;
 
   private final long bucketMs;
 
-  /** One more than the window has, so that an event is counted for at least a whole window. */
+  /** One more than the window spans, so that an event counts for at least a whole window. */
   private final int[] buckets = new int[BUCKETS + 1];
 
   private long newestBucket = Long.MIN_VALUE;
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
@@ -10,37 +10,35 @@
 import java.util.Set;
 
 /**
- * What all gateways together admit of limited tenants, as the leading coordinator knows it.
+ * Tracks, at the leading coordinator, what all gateways admit of rate-limited tenants.
  *
- * <p>Nothing of it is replicated: each heartbeat of a gateway tells its whole window, so a new
- * leader knows all after one round of heartbeats. What a gateway was granted since its last
- * heartbeat is added to it. A gateway that is not heard of any more counts for one more window.
+ * <p>Nothing is replicated: each heartbeat of a gateway reports its whole window, so a new leader
+ * is complete after one round of heartbeats. Requests granted since a gateway's last heartbeat are
+ * added to it. A gateway that is silent still counts for one more window.
  */
 public final class TenantLedger {
   /**
-   * From which part of its limit on a tenant is contended. Gateways hear of it within a heartbeat's
-   * interval of 300 ms; the other half is room for what they admit until then, at up to six times
-   * the rate of the limit for a window of 5 s.
+   * Share of its limit from which a tenant is contended. Gateways learn of it within a heartbeat
+   * interval of 300 ms; the other half covers what they admit until then, at up to six times the
+   * limit's rate for a window of 5 s.
    */
   private static final double CONTENTION_START_SHARE = 0.5;
 
-  /** A contended tenant is so until it is below this part, so that it does not flap. */
+  /** Share of its limit below which a tenant is no longer contended; lower, to prevent flapping. */
   private static final double CONTENTION_END_SHARE = 0.3;
 
   /**
-   * Windows are told up to 300 ms late, so what has left them still counts: 300 ms of a window of 5
-   * s are 6 in 100.
+   * Tolerance for reports that are up to 300 ms old and still count requests that left the window:
+   * 300 ms are 6 percent of a window of 5 s.
    */
   private static final double STALENESS_FACTOR = 1.05;
 
-  /**
-   * The same in requests, for tenants of few requests, of which a share is less than one request.
-   */
+  /** The same as a number of requests, for small limits of which 5 percent are less than one. */
   private static final double STALENESS_ALLOWANCE_REQUESTS = 2;
 
   private record GatewayIncarnation(String gateway, long incarnation) {}
 
-  /** What is known of one gateway. */
+  /** State of one gateway. */
   private static final class GatewayState {
     long lastHeardMs;
     Map<String, Integer> reported = Map.of();
@@ -55,30 +53,31 @@
   /**
    * Creates an empty ledger.
    *
-   * @param windowMs the span over which limits hold
+   * @param windowMs the length of the window over which limits apply
    */
   public TenantLedger(long windowMs) {
     this.windowMs = windowMs;
   }
 
-  /** Forgets everything, for a new leadership. */
+  /** Clears the ledger when this coordinator becomes leader. */
   public void clear() {
     gateways.clear();
     totals.clear();
     contended.clear();
   }
 
-  /** Takes what a gateway tells of its window. */
-  public void onHeartbeat(String gateway, long life, List<TenantUse> uses, long nowMs) {
-    GatewayState known =
-        gateways.computeIfAbsent(new GatewayIncarnation(gateway, life), l -> new GatewayState());
-    subtract(known);
-    known.lastHeardMs = nowMs;
-    known.grantedSinceReport.clear();
-    Map<String, Integer> told = new HashMap<>();
-    uses.forEach(use -> told.put(use.tenant(), use.admitted()));
-    known.reported = told;
-    told.forEach((tenant, admitted) -> totals.merge(tenant, admitted, Integer::sum));
+  /** Replaces a gateway's counts by those of its latest heartbeat. */
+  public void onHeartbeat(String gateway, long incarnation, List<TenantUse> uses, long nowMs) {
+    GatewayState state =
+        gateways.computeIfAbsent(
+            new GatewayIncarnation(gateway, incarnation), key -> new GatewayState());
+    subtract(state);
+    state.lastHeardMs = nowMs;
+    state.grantedSinceReport.clear();
+    Map<String, Integer> reported = new HashMap<>();
+    uses.forEach(use -> reported.put(use.tenant(), use.admitted()));
+    state.reported = reported;
+    reported.forEach((tenant, admitted) -> totals.merge(tenant, admitted, Integer::sum));
   }
 
   private void subtract(GatewayState gateway) {
@@ -87,21 +86,21 @@
         (tenant, granted) -> totals.merge(tenant, -granted, Integer::sum));
   }
 
-  /** Forgets gateways whose last window is over. */
+  /** Removes gateways that were silent for a whole window. */
   public void expire(long nowMs) {
     gateways
         .values()
         .removeIf(
             gateway -> {
-              boolean over = nowMs - gateway.lastHeardMs > windowMs;
-              if (over) {
+              boolean expired = nowMs - gateway.lastHeardMs > windowMs;
+              if (expired) {
                 subtract(gateway);
               }
-              return over;
+              return expired;
             });
   }
 
-  /** The tenants whose requests gateways are to ask for. */
+  /** Returns the tenants whose requests gateways must ask the leader about. */
   public List<String> contended(List<CallerTenant> tenants) {
     List<String> names = new ArrayList<>();
     for (CallerTenant tenant : tenants) {
@@ -113,33 +112,35 @@
   }
 
   private boolean updateContention(CallerTenant tenant) {
-    boolean was = contended.contains(tenant.name());
-    double from =
-        tenant.maxRequestsIn(windowMs) * (was ? CONTENTION_END_SHARE : CONTENTION_START_SHARE);
-    boolean is = admitted(tenant.name()) >= from;
-    if (is && !was) {
+    boolean wasContended = contended.contains(tenant.name());
+    double threshold =
+        tenant.maxRequestsIn(windowMs)
+            * (wasContended ? CONTENTION_END_SHARE : CONTENTION_START_SHARE);
+    boolean isContended = admitted(tenant.name()) >= threshold;
+    if (isContended && !wasContended) {
       contended.add(tenant.name());
-    } else if (!is && was) {
+    } else if (!isContended && wasContended) {
       contended.remove(tenant.name());
     }
-    return is;
+    return isContended;
   }
 
-  /** Admits one request of a tenant at a gateway when that keeps the tenant within its limit. */
-  public boolean tryAdmit(String gateway, long life, CallerTenant tenant, long nowMs) {
-    double most = tenant.maxRequestsIn(windowMs) * STALENESS_FACTOR + STALENESS_ALLOWANCE_REQUESTS;
-    if (admitted(tenant.name()) + 1 > most) {
+  /** Admits one request at a gateway if the tenant stays within its limit. */
+  public boolean tryAdmit(String gateway, long incarnation, CallerTenant tenant, long nowMs) {
+    double max = tenant.maxRequestsIn(windowMs) * STALENESS_FACTOR + STALENESS_ALLOWANCE_REQUESTS;
+    if (admitted(tenant.name()) + 1 > max) {
       return false;
     }
-    GatewayState known =
-        gateways.computeIfAbsent(new GatewayIncarnation(gateway, life), l -> new GatewayState());
-    known.lastHeardMs = Math.max(known.lastHeardMs, nowMs);
-    known.grantedSinceReport.merge(tenant.name(), 1, Integer::sum);
+    GatewayState state =
+        gateways.computeIfAbsent(
+            new GatewayIncarnation(gateway, incarnation), key -> new GatewayState());
+    state.lastHeardMs = Math.max(state.lastHeardMs, nowMs);
+    state.grantedSinceReport.merge(tenant.name(), 1, Integer::sum);
     totals.merge(tenant.name(), 1, Integer::sum);
     return true;
   }
 
-  /** The requests of a tenant that all gateways have admitted in the window. */
+  /** Returns the requests of a tenant that all gateways admitted in the window. */
   public int admitted(String tenant) {
     return totals.getOrDefault(tenant, 0);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/package-info.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Limits on the requests of tenants, held by all gateways together.
+ * Rate limits of tenants, enforced by all gateways together.
  *
- * <p>A gateway admits a tenant's requests by itself while the fleet as a whole is far below the
- * tenant's limit, and asks the leading coordinator for each request when it is not. What gateways
- * admit is told with their heartbeats. Decisions are pure: time and events in, decisions out.
+ * <p>A gateway admits a tenant's requests locally while the fleet is far below the tenant's limit,
+ * and otherwise asks the leading coordinator about each request. Heartbeats report what gateways
+ * admit. Decisions depend only on the times and events passed in.
  */
 package io.pathdeck.fleet.limit;
--- a/fleet/src/main/java/io/pathdeck/fleet/load/InFlightCalls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/InFlightCalls.java
@@ -8,28 +8,34 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Reads this process's own calls under way from its table of engines, and notes its peers'. */
+/**
+ * Reads this process's in-flight calls from its engine table, and applies the peers' counts to it.
+ */
 final class InFlightCalls {
   private InFlightCalls() {}
 
-  /** The engines with calls under way; where they are too many for a datagram, the fullest. */
+  /**
+   * Returns the in-flight calls by engine; if a datagram cannot hold all engines, those with the
+   * most calls.
+   */
   static Map<Long, Integer> of(EngineTable engines) {
     List<EngineState> busy =
         engines.all().stream().filter(engine -> engine.inFlight() > 0).toList();
-    Stream<EngineState> told = busy.stream();
+    Stream<EngineState> selected = busy.stream();
     if (busy.size() > LoadDatagram.MAX_ENGINES) {
-      told =
-          told.sorted(Comparator.comparingInt(EngineState::inFlight).reversed())
+      selected =
+          selected
+              .sorted(Comparator.comparingInt(EngineState::inFlight).reversed())
               .limit(LoadDatagram.MAX_ENGINES);
     }
     Map<Long, Integer> calls = new HashMap<>();
-    told.forEach(
+    selected.forEach(
         engine ->
             calls.put(engine.instanceHash(), Math.min(LoadDatagram.MAX_CALLS, engine.inFlight())));
     return calls;
   }
 
-  /** Notes the peers' calls at each engine. */
+  /** Sets the peers' calls of each engine. */
   static void applyPeerCalls(EngineTable engines, PeerLoads peers) {
     for (EngineState engine : engines.all()) {
       engine.onPeerCalls(peers.callsAt(engine.instanceHash()));
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
@@ -6,21 +6,21 @@
 import java.util.Optional;
 
 /**
- * What one process tells others of its calls under way, whole in one datagram: a lost one costs
- * nothing once the next has come.
+ * A complete report of one process's in-flight calls, in one datagram; a lost one is made up for by
+ * the next.
  *
  * @param sender a hash of the process's name
- * @param incarnation tells the lives of that process apart
- * @param sequence grows with each datagram of a life
- * @param ttlMs how long the counts hold when no newer datagram comes
- * @param calls the calls under way by the hash of the engine's life; only engines that have some
+ * @param incarnation distinguishes runs of that process
+ * @param sequence increases with each datagram of an incarnation
+ * @param ttlMs how long the counts are valid without a newer datagram
+ * @param calls the in-flight calls by the hash of the engine's incarnation; no zero counts
  */
 record LoadDatagram(
     long sender, long incarnation, long sequence, int ttlMs, Map<Long, Integer> calls) {
-  /** The most engines that a datagram tells of, so that it fits a packet of any usual network. */
+  /** Keeps the datagram within a packet of any usual network. */
   static final int MAX_ENGINES = 100;
 
-  /** The longest time for which a receiver keeps the counts of a silent peer. */
+  /** Bounds how long a receiver keeps the counts of a silent peer. */
   static final int MAX_TTL_MS = 5_000;
 
   static final int MAX_CALLS = 0xFFFF;
@@ -33,12 +33,11 @@
 
   LoadDatagram {
     if (calls.size() > MAX_ENGINES) {
-      throw new IllegalArgumentException(calls.size() + " engines do not fit a datagram");
+      throw new IllegalArgumentException(calls.size() + " engines do not fit into one datagram");
     }
     calls = Map.copyOf(calls);
   }
 
-  /** The datagram's bytes. */
   byte[] encode() {
     ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + calls.size() * ENTRY_BYTES);
     bytes.putShort(MAGIC);
@@ -52,24 +51,24 @@
     return bytes.array();
   }
 
-  /** Reads a datagram; empty when the bytes are none of this version. */
+  /** Decodes a datagram; empty if the bytes are not a valid one of this version. */
   static Optional<LoadDatagram> decode(ByteBuffer bytes) {
-    boolean ours =
+    boolean recognized =
         bytes.remaining() >= HEADER_BYTES && bytes.getShort() == MAGIC && bytes.get() == VERSION;
-    if (!ours) {
+    if (!recognized) {
       return Optional.empty();
     }
     int engines = Byte.toUnsignedInt(bytes.get());
     long sender = bytes.getLong();
-    long life = bytes.getLong();
+    long incarnation = bytes.getLong();
     long sequence = bytes.getLong();
-    int holdMs = Short.toUnsignedInt(bytes.getShort());
-    boolean bounded = engines <= MAX_ENGINES && holdMs <= MAX_TTL_MS;
-    if (!bounded || bytes.remaining() != engines * ENTRY_BYTES) {
+    int ttlMs = Short.toUnsignedInt(bytes.getShort());
+    boolean withinLimits = engines <= MAX_ENGINES && ttlMs <= MAX_TTL_MS;
+    if (!withinLimits || bytes.remaining() != engines * ENTRY_BYTES) {
       return Optional.empty();
     }
     return readCalls(bytes, engines)
-        .map(calls -> new LoadDatagram(sender, life, sequence, holdMs, calls));
+        .map(calls -> new LoadDatagram(sender, incarnation, sequence, ttlMs, calls));
   }
 
   private static Optional<Map<Long, Integer>> readCalls(ByteBuffer bytes, int engines) {
@@ -77,8 +76,8 @@
     for (int i = 0; i < engines; i++) {
       long engine = bytes.getLong();
       int count = Short.toUnsignedInt(bytes.getShort());
-      boolean twice = calls.put(engine, count) != null;
-      if (twice || count == 0) {
+      boolean duplicate = calls.put(engine, count) != null;
+      if (duplicate || count == 0) {
         return Optional.empty();
       }
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadExchange.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadExchange.java
@@ -28,21 +28,21 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Tells the other gateways of the zone this one's calls under way, and notes theirs in the table of
- * engines; confined to the event loop.
+ * Exchanges in-flight call counts with the other gateways of the zone and applies theirs to the
+ * engine table; confined to the event loop.
  *
- * <p>It opens its socket when {@link #openIfNeeded} finds a reason, and from then on names its
- * address; before, it costs nothing. Only gateways that name an address are told.
+ * <p>The socket is opened when {@link #openIfNeeded} finds a reason; only then is the address
+ * published and any cost incurred. Counts are sent only to gateways that publish an address.
  */
 public final class LoadExchange implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(LoadExchange.class);
   private static final long BIND_RETRY_MS = 5_000;
 
   /**
-   * Who takes part.
+   * This process as a participant.
    *
-   * @param incarnation tells the lives of the process apart
-   * @param listen where its datagrams arrive
+   * @param incarnation distinguishes runs of the process
+   * @param listen the address at which it receives datagrams
    */
   public record Self(String name, long incarnation, String zone, HostPort listen) {}
 
@@ -63,7 +63,7 @@
   /**
    * Creates an exchange without a socket.
    *
-   * @param alwaysEnabled whether counts are shared also when no engine tells its pace
+   * @param alwaysEnabled whether to share counts even if no engine reports its pace
    */
   public LoadExchange(
       EventLoop eventLoop,
@@ -86,12 +86,17 @@
     return LongHashFunction.xx3().hashBytes(name.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Where others reach this process; empty while no socket is open. Thread-safe. */
+  /**
+   * Returns the address at which peers reach this process; empty while no socket is open.
+   * Thread-safe.
+   */
   public String address() {
     return channel == null ? "" : self.listen().toString();
   }
 
-  /** Begins when engines share their machines, as far as they tell, or the settings ask for it. */
+  /**
+   * Opens the socket if engines report that they share their machines or the settings require it.
+   */
   public void openIfNeeded() {
     boolean open = channel != null || closed;
     if (open || !(alwaysEnabled || engines.anyReportsPace())) {
@@ -112,23 +117,23 @@
             .handler(new DatagramHandler());
     bootstrap
         .bind(self.listen().toSocketAddress())
-        .addListener((ChannelFuture bound) -> onBound(bound));
+        .addListener((ChannelFuture future) -> onBound(future));
   }
 
-  private void onBound(ChannelFuture bound) {
-    if (!bound.isSuccess()) {
-      logFailure(bound.cause());
+  private void onBound(ChannelFuture future) {
+    if (!future.isSuccess()) {
+      logFailure(future.cause());
     } else if (closed) {
-      bound.channel().close();
+      future.channel().close();
     } else {
-      channel = bound.channel();
+      channel = future.channel();
       failureLogged = false;
       EVENTS.log(EventCode.LOAD_SHARING_STARTED, "listen", self.listen());
       tick();
     }
   }
 
-  /** One line for a run of failures: requests are served without the peers' counts. */
+  /** Logs the first of a series of failures; requests are then served without the peers' counts. */
   private void logFailure(Throwable cause) {
     if (!failureLogged) {
       failureLogged = true;
@@ -136,9 +141,9 @@
     }
   }
 
-  /** Follows which gateways the zone has. */
+  /** Updates the peers from the zone's gateways. */
   public void onChange(FleetView view) {
-    Set<Long> known = new HashSet<>();
+    Set<Long> senders = new HashSet<>();
     Map<Long, InetSocketAddress> reachable = new HashMap<>();
     for (FleetProcess gateway : view.withRole(FleetRole.GATEWAY)) {
       boolean peer = gateway.zone().equals(self.zone()) && !gateway.name().equals(self.name());
@@ -146,13 +151,13 @@
         continue;
       }
       long sender = hash(gateway.name());
-      known.add(sender);
+      senders.add(sender);
       Optional<HostPort> address = HostPort.parse(gateway.peerAddress());
       if (gateway.ready() && address.isPresent()) {
         reachable.put(sender, address.get().toSocketAddress());
       }
     }
-    peers.setKnownPeers(known);
+    peers.setKnownPeers(senders);
     readyPeers = Map.copyOf(reachable);
   }
 
@@ -161,37 +166,39 @@
       return;
     }
     long nowMs = nowMs();
-    Set<Long> active = peers.activePeers(nowMs);
+    Set<Long> activePeers = peers.activePeers(nowMs);
     peers.expire(nowMs);
     InFlightCalls.applyPeerCalls(engines, peers);
     Map<Long, Integer> calls = InFlightCalls.of(engines);
-    broadcast(schedule.onInterval(calls, active.size(), nowMs), calls, active);
-    boolean idle = calls.isEmpty() && active.isEmpty();
-    long waitMs = idle ? SendSchedule.IDLE_INTERVAL_MS : SendSchedule.intervalMs(active.size());
+    broadcast(schedule.onInterval(calls, activePeers.size(), nowMs), calls, activePeers);
+    boolean idle = calls.isEmpty() && activePeers.isEmpty();
+    long waitMs =
+        idle ? SendSchedule.IDLE_INTERVAL_MS : SendSchedule.intervalMs(activePeers.size());
     eventLoop.schedule(this::tick, waitMs, TimeUnit.MILLISECONDS);
   }
 
-  /** A call of this process has just begun. */
+  /** Sends the counts after a call of this process has started. */
   public void onCallStarted() {
     if (channel == null) {
       return;
     }
     long nowMs = nowMs();
-    Set<Long> active = peers.activePeers(nowMs);
+    Set<Long> activePeers = peers.activePeers(nowMs);
     Map<Long, Integer> calls = InFlightCalls.of(engines);
-    broadcast(schedule.onCallStart(calls, active.size(), nowMs), calls, active);
+    broadcast(schedule.onCallStart(calls, activePeers.size(), nowMs), calls, activePeers);
   }
 
-  private void broadcast(SendSchedule.Recipients whom, Map<Long, Integer> calls, Set<Long> active) {
-    if (whom == SendSchedule.Recipients.NONE) {
+  private void broadcast(
+      SendSchedule.Recipients recipients, Map<Long, Integer> calls, Set<Long> activePeers) {
+    if (recipients == SendSchedule.Recipients.NONE) {
       return;
     }
-    int holdMs = SendSchedule.ttlMs(active.size());
+    int ttlMs = SendSchedule.ttlMs(activePeers.size());
     byte[] bytes =
-        new LoadDatagram(hash(self.name()), self.incarnation(), ++sequence, holdMs, calls).encode();
+        new LoadDatagram(hash(self.name()), self.incarnation(), ++sequence, ttlMs, calls).encode();
     readyPeers.forEach(
         (peer, address) -> {
-          if (whom == SendSchedule.Recipients.ALL || active.contains(peer)) {
+          if (recipients == SendSchedule.Recipients.ALL || activePeers.contains(peer)) {
             send(bytes, address);
           }
         });
@@ -205,11 +212,11 @@
     }
     channel
         .write(new DatagramPacket(Unpooled.wrappedBuffer(bytes), address))
-        .addListener((ChannelFuture written) -> onWritten(written));
+        .addListener((ChannelFuture future) -> onWritten(future));
   }
 
-  private void onWritten(ChannelFuture written) {
-    if (written.isSuccess()) {
+  private void onWritten(ChannelFuture future) {
+    if (future.isSuccess()) {
       metrics.onSent();
     } else {
       metrics.onDropped();
@@ -231,7 +238,7 @@
     }
   }
 
-  /** Takes the peers' datagrams. */
+  /** Receives the peers' datagrams. */
   private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadMetrics.java
@@ -4,7 +4,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a gateway counts of the datagrams about calls under way. Thread-safe. */
+/** Metrics of the datagrams with in-flight call counts. Thread-safe. */
 public final class LoadMetrics {
   private final LongAdder sent = new LongAdder();
   private final LongAdder received = new LongAdder();
@@ -34,7 +34,7 @@
     return dropped.sum();
   }
 
-  /** Publishes the counts. */
+  /** Registers the metrics. */
   public void bindTo(MeterRegistry registry) {
     register(registry, "pathdeck.load.datagrams.sent", sent);
     register(registry, "pathdeck.load.datagrams.received", received);
--- a/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
@@ -6,24 +6,24 @@
 import java.util.Set;
 
 /**
- * The calls under way of this process's peers, by their newest datagrams; confined to one thread.
+ * The in-flight calls of this process's peers from their latest datagrams; confined to one thread.
  *
- * <p>A peer that died, was cut off or is suspended counts no longer than its last datagram holds:
- * its calls may have ended, and engines would be avoided that are free.
+ * <p>Counts of a crashed, disconnected or suspended peer expire with its last datagram, since its
+ * calls may have ended and free engines would be avoided.
  */
 final class PeerLoads {
-  /** A peer that sent within this time has callers now and is told of each change. */
+  /** A peer that sent within this time has callers now and is sent every change. */
   static final long ACTIVE_MS = 3_000;
 
-  /** The newest datagram of a peer. */
+  /** The latest datagram of a peer. */
   private static final class Received {
     final LoadDatagram datagram;
     final long receivedMs;
     boolean counted = true;
 
-    Received(LoadDatagram datagram, long atMs) {
+    Received(LoadDatagram datagram, long receivedMs) {
       this.datagram = datagram;
-      this.receivedMs = atMs;
+      this.receivedMs = receivedMs;
     }
 
     boolean isExpired(long nowMs) {
@@ -40,7 +40,7 @@
   private final Map<Long, Integer> totals = new HashMap<>();
   private Set<Long> knownPeers = Set.of();
 
-  /** Only these senders count from now on, which also bounds what is kept. */
+  /** Sets the accepted senders, which also bounds the memory used. */
   void setKnownPeers(Set<Long> senders) {
     knownPeers = Set.copyOf(senders);
     newest.entrySet().stream()
@@ -50,37 +50,37 @@
   }
 
   /**
-   * Takes a datagram; false when its sender is no peer or has sent a newer one. A datagram of
-   * another life replaces what is held, so one that comes late after a restart counts until the new
-   * life's next one.
+   * Applies a datagram; returns false if its sender is not a peer or has sent a newer one. A
+   * datagram of another incarnation replaces the counts, so one that arrives late after a restart
+   * counts until the new incarnation's next one.
    */
   boolean accept(LoadDatagram datagram, long nowMs) {
-    Received held = newest.get(datagram.sender());
-    boolean overtaken = held != null && held.supersedes(datagram);
-    if (overtaken || !knownPeers.contains(datagram.sender())) {
+    Received previous = newest.get(datagram.sender());
+    boolean stale = previous != null && previous.supersedes(datagram);
+    if (stale || !knownPeers.contains(datagram.sender())) {
       return false;
     }
-    if (held != null) {
-      subtractCalls(held);
+    if (previous != null) {
+      subtractCalls(previous);
     }
     newest.put(datagram.sender(), new Received(datagram, nowMs));
     datagram.calls().forEach((engine, count) -> totals.merge(engine, count, Integer::sum));
     return true;
   }
 
-  /** Forgets the counts that no longer hold. */
+  /** Removes expired counts. */
   void expire(long nowMs) {
-    for (Received told : newest.values()) {
-      if (told.isExpired(nowMs)) {
-        subtractCalls(told);
+    for (Received received : newest.values()) {
+      if (received.isExpired(nowMs)) {
+        subtractCalls(received);
       }
     }
   }
 
-  private void subtractCalls(Received told) {
-    if (told.counted) {
-      told.counted = false;
-      told.datagram.calls().forEach(this::subtract);
+  private void subtractCalls(Received received) {
+    if (received.counted) {
+      received.counted = false;
+      received.datagram.calls().forEach(this::subtract);
     }
   }
 
@@ -88,17 +88,17 @@
     totals.computeIfPresent(engine, (hash, sum) -> sum == count ? null : sum - count);
   }
 
-  /** The peers' calls under way at the life of an engine with this hash. */
+  /** Returns the peers' in-flight calls at the engine incarnation with this hash. */
   int callsAt(long engine) {
     return totals.getOrDefault(engine, 0);
   }
 
-  /** The peers that have sent of late. */
+  /** Returns the peers that have sent recently. */
   Set<Long> activePeers(long nowMs) {
     Set<Long> active = new HashSet<>();
     newest.forEach(
-        (sender, told) -> {
-          if (nowMs - told.receivedMs < ACTIVE_MS) {
+        (sender, received) -> {
+          if (nowMs - received.receivedMs < ACTIVE_MS) {
             active.add(sender);
           }
         });
--- a/fleet/src/main/java/io/pathdeck/fleet/load/SendSchedule.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/SendSchedule.java
@@ -3,34 +3,32 @@
 import java.util.Map;
 
 /**
- * Decides when a process tells its calls under way, and whom; confined to one thread.
+ * Decides when a process sends its in-flight call counts, and to whom; confined to one thread.
  *
- * <p>It answers crests in which the last free places of a zone's engines are taken within tens of
- * milliseconds, so the start of a call is told at once; ends can wait, since a place that is free
- * without being known costs less than two callers sent to one. A budget bounds what it costs: all
- * active peers together send a process about {@value #MAX_RECEIVED_PER_S} datagrams a second,
- * however many they are.
+ * <p>In load peaks, the last free slots of a zone's engines are taken within tens of milliseconds,
+ * so the start of a call is sent at once. Ends can wait: a free slot that is not known costs less
+ * than two callers sent to the same one. A token bucket bounds the cost: all active peers together
+ * send a process about {@value #MAX_RECEIVED_PER_S} datagrams per second, however many they are.
  */
 final class SendSchedule {
   static final long MIN_INTERVAL_MS = 50;
 
-  /** How often unchanged counts are told again, so that a peer's silence means something. */
+  /** How often unchanged counts are sent again, so that a silent peer can be detected. */
   static final long REFRESH_MS = 200;
 
-  /** How often peers that have sent nothing are told too: neither of two would begin otherwise. */
+  /** How often inactive peers are included; otherwise neither of two peers would start sending. */
   static final long HELLO_INTERVAL_MS = 1_000;
 
-  /** How often a process without calls and active peers looks whether that has changed. */
+  /** How often a process without calls and active peers checks whether that has changed. */
   static final long IDLE_INTERVAL_MS = 200;
 
-  /** How many datagrams a process may send at once that it has not sent before. */
+  /** Capacity of the token bucket. */
   static final int BURST = 4;
 
   private static final int MAX_RECEIVED_PER_S = 200;
   private static final double MILLIS_PER_SECOND = 1_000;
   private static final int UNCHANGED_INTERVALS = 2;
 
-  /** Whom a datagram goes to. */
   enum Recipients {
     NONE,
     ACTIVE,
@@ -43,12 +41,12 @@
   private double tokens = BURST;
   private long lastRefillMs;
 
-  /** The time in which the budget of a process with {@code activePeers} allows one datagram. */
+  /** Returns the time in which one token accrues with {@code activePeers} peers. */
   private static double msPerToken(int activePeers) {
     return Math.max(1, activePeers) * MILLIS_PER_SECOND / MAX_RECEIVED_PER_S;
   }
 
-  /** The time between two looks at calls that ended or that the budget held back. */
+  /** Returns the time between checks for ended calls and for changes that the bucket delayed. */
   static long intervalMs(int activePeers) {
     return Math.max(MIN_INTERVAL_MS, Math.round(msPerToken(activePeers)));
   }
@@ -58,19 +56,25 @@
     return Math.max(intervalMs, Math.min(REFRESH_MS, UNCHANGED_INTERVALS * intervalMs));
   }
 
-  /** How long counts hold: two datagrams in a row may be lost, and the third be on its way. */
+  /**
+   * Returns how long counts are valid: two consecutive datagrams may be lost while the third is in
+   * transit.
+   */
   static int ttlMs(int activePeers) {
-    long holdMs = 2 * refreshMs(activePeers) + intervalMs(activePeers);
-    return (int) Math.min(LoadDatagram.MAX_TTL_MS, holdMs);
+    long ttlMs = 2 * refreshMs(activePeers) + intervalMs(activePeers);
+    return (int) Math.min(LoadDatagram.MAX_TTL_MS, ttlMs);
   }
 
-  /** Whom to tell {@code calls} when one has just begun; what it says is taken as done. */
+  /**
+   * Returns to whom to send {@code calls} after a call has started; assumes that they are then
+   * sent.
+   */
   Recipients onCallStart(Map<Long, Integer> calls, int activePeers, long nowMs) {
     refill(activePeers, nowMs);
     return tokens >= 1 ? recordSend(calls, nowMs) : Recipients.NONE;
   }
 
-  /** Whom to tell {@code calls}, asked at each interval; what it says is taken as done. */
+  /** Returns to whom to send {@code calls} at an interval; assumes that they are then sent. */
   Recipients onInterval(Map<Long, Integer> calls, int activePeers, long nowMs) {
     refill(activePeers, nowMs);
     long sinceMs = nowMs - lastSendMs;
--- a/fleet/src/main/java/io/pathdeck/fleet/load/package-info.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The calls under way that the gateways of a zone tell each other, so that each chooses engines by
- * what all of them have sent. Nothing here is durable, and nothing waits for it.
+ * Exchange of in-flight call counts between the gateways of a zone, so that each chooses engines by
+ * the calls of all. Counts are not durable, and no request waits for them.
  */
 package io.pathdeck.fleet.load;
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestGatewaySettings.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestGatewaySettings.java
@@ -32,8 +32,8 @@
     return read("").value();
   }
 
-  private static Result<GatewaySettings, SettingsError> read(String more) {
-    return GatewaySettings.read(SettingsReader.parse("test", YAML + more, Map.of()).value());
+  private static Result<GatewaySettings, SettingsError> read(String extraYaml) {
+    return GatewaySettings.read(SettingsReader.parse("test", YAML + extraYaml, Map.of()).value());
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Callers that keep more in a gateway's memory than it may hold. */
+/** Callers that need more memory than the gateway may use. */
 class TestMemoryBudget {
   private static final long MAX_BYTES = 1_000;
 
@@ -109,11 +109,11 @@
   void connectionIsReusableAfterEviction() {
     HeldMemory memory = requestWithBody("first", "t", 900);
     requestWithBody("other", "u", 200);
-    assertThat(memory.tryHoldAnswer(1)).as("before its end").isFalse();
+    assertThat(memory.tryHoldAnswer(1)).as("before its release").isFalse();
     memory.releaseAll();
     assertThat(memory.tryHoldBody(100)).isTrue();
     assertThat(budget.heldBytes()).isEqualTo(300);
-    assertThat(budget.heldBytes("")).as("of a tenant not known yet").isEqualTo(100);
+    assertThat(budget.heldBytes("")).as("tenant not yet set").isEqualTo(100);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** One full engine, and requests that fall due 300 ms after they come. */
+/** Uses one full engine, and requests that are due 300 ms after their arrival. */
 class TestRequestDispatcher {
   private static final String SERVICE = "s";
   private static final int SLOTS = 2;
@@ -93,12 +93,12 @@
     due.forEach(Runnable::run);
   }
 
-  /** A request that held its place for {@code heldMs} leaves the engine. */
+  /** Completes a request that held its slot for {@code heldMs}. */
   private void freeSlot(long heldMs) {
-    AttemptTracker use = new AttemptTracker(new Placement(engine(), 0), nowMs - heldMs);
-    use.onFirstBytes(40, null, nowMs - heldMs);
-    use.end();
-    dispatcher.onSlotFreed(SERVICE, use);
+    AttemptTracker attempt = new AttemptTracker(new Placement(engine(), 0), nowMs - heldMs);
+    attempt.onFirstBytes(40, null, nowMs - heldMs);
+    attempt.end();
+    dispatcher.onSlotFreed(SERVICE, attempt);
     runTimers();
   }
 
@@ -166,9 +166,9 @@
   @Test
   void removedRequestIsNeverSent() {
     fillEngine();
-    FakeRequest left = submit("left", "t");
+    FakeRequest removed = submit("left", "t");
     submit("stays", "t");
-    dispatcher.remove(left);
+    dispatcher.remove(removed);
     nowMs += DUE_AFTER_MS;
     runTimers();
     assertThat(sent).containsExactly("stays");
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSilenceTimeout.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSilenceTimeout.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Requests are sent again soon where one engine is dark, and late where all are crowded. */
+/** Retries must be early if a single engine is silent, and late if all are overloaded. */
 class TestSilenceTimeout {
   private static final ForwardingSettings SETTINGS = ForwardingSettings.DEFAULT;
   private static final long MIN_MS = SETTINGS.minSilenceTimeoutMs();
@@ -39,7 +39,7 @@
     assertThat(timeout.timeoutMs(0)).isLessThan(MIN_MS + 150);
   }
 
-  /** As after a loss of power: every request waited for over a second, and was sent again twice. */
+  /** As after a power failure, when every request waited over a second and was sent three times. */
   @Test
   void growsWhenAllEnginesAreOverloaded() {
     for (int i = 0; i < 30; i++) {
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSlowCallers.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSlowCallers.java
@@ -52,7 +52,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Callers over loopback that stop to read, or send much, and an engine that writes on. */
+/**
+ * Callers over loopback that stop reading or send large bodies, and an engine that keeps writing.
+ */
 @Timeout(60)
 class TestSlowCallers {
   private static final String SERVICE = "s";
@@ -63,7 +65,7 @@
   private static final HttpLimits LIMITS = new HttpLimits(8_192, 1 << 16, 1 << 16, 50, 30_000);
   private static final long WAIT_MS = 20_000;
 
-  /** An engine that may send nothing for so long is given up, where another may take over. */
+  /** An engine that is silent for this long is abandoned if another may take over. */
   private static final long LONGER_THAN_SILENCE_TIMEOUT_MS = 800;
 
   private final EventLoopGroup eventLoops = EventLoops.create(1);
@@ -83,7 +85,7 @@
   private volatile boolean queueRequests;
   private ForwardingContext context;
 
-  /** Echoes the id of the request, as an engine of the tests does. */
+  /** Echoes the request id, like the engines of other tests. */
   private static final class EchoProtocol implements EngineProtocol {
     @Override
     public FullHttpRequest write(EngineCall call) {
@@ -200,25 +202,26 @@
     CallerIdentity caller =
         new CallerIdentity.Authenticated(new CallerTenant(tenant, List.of(), 0, 0, 0));
     long nowMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-    RequestAuthorization permission = new RequestAuthorization(caller, () -> true);
-    new RequestForwarder(context, exchange, request, route, SERVICE, 1, permission, nowMs).start();
+    RequestAuthorization authorization = new RequestAuthorization(caller, () -> true);
+    new RequestForwarder(context, exchange, request, route, SERVICE, 1, authorization, nowMs)
+        .start();
   }
 
-  // ---- the engine
+  // ---- engine
 
   private void acceptCalls() {
     try {
       while (true) {
         Socket call = engine.accept();
         sockets.add(call);
-        new Thread(() -> answer(call), "engine-call").start();
+        new Thread(() -> respond(call), "engine-call").start();
       }
     } catch (IOException closed) {
       assertThat(engine.isClosed()).isTrue();
     }
   }
 
-  private void answer(Socket call) {
+  private void respond(Socket call) {
     try {
       String id = header(readHead(call.getInputStream()), "x-id");
       if (!eventCounts.containsKey(id)) {
@@ -271,20 +274,20 @@
     return send(path, id, tenant, 0, 0);
   }
 
-  /** Sends a request with a body of {@code announced} bytes of which only some are sent. */
+  /** Sends a request that announces {@code announced} body bytes and sends only {@code sent}. */
   private Socket send(String path, String id, String tenant, int announced, int sent)
       throws IOException {
     Socket caller = new Socket();
     caller.setReceiveBufferSize(SMALL_BUFFER);
     caller.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), serverPort));
     String head = "POST " + path + " HTTP/1.1\r\nContent-Length: " + announced + "\r\nx-id: " + id;
-    String whole = head + "\r\nx-tenant: " + tenant + "\r\n\r\n" + "x".repeat(sent);
-    caller.getOutputStream().write(whole.getBytes(StandardCharsets.US_ASCII));
+    String request = head + "\r\nx-tenant: " + tenant + "\r\n\r\n" + "x".repeat(sent);
+    caller.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
     sockets.add(caller);
     return caller;
   }
 
-  /** Sends one body more than the budget holds; returns the heads of the answers that came. */
+  /** Sends one body more than the budget holds; returns the heads of the responses received. */
   private List<String> sendTooManyBodies(int announced, int sent) throws Exception {
     List<Socket> callers = new ArrayList<>();
     for (int i = 0; i <= BUDGET_BYTES / sent; i++) {
@@ -332,8 +335,8 @@
     Socket caller = call("/resumable", "a", "t", events);
     await(() -> metrics.memory().readsPaused() > 0);
     Thread.sleep(LONGER_THAN_SILENCE_TIMEOUT_MS);
-    long whilePaused = engineBytesSent.get();
-    assertThat(whilePaused).isLessThan(events * EVENT_BYTES);
+    long sentWhilePaused = engineBytesSent.get();
+    assertThat(sentWhilePaused).isLessThan(events * EVENT_BYTES);
     assertThat(maxHeldBytes.get()).isLessThan(2 * ReadPause.HIGH_WATERMARK_BYTES);
     readHead(caller.getInputStream());
     long total = 0;
@@ -354,19 +357,19 @@
 
   @Test
   void stalledReadersAreAbortedAtBudget() throws Exception {
-    List<Socket> stopped = new ArrayList<>();
+    List<Socket> stalled = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      stopped.add(call("/stream", "stopped" + i, "slow", 20_000));
+      stalled.add(call("/stream", "stopped" + i, "slow", 20_000));
     }
     await(() -> metrics.memory().aborted() >= 2 && abortedEngineCalls.get() >= 2);
     assertThat(maxHeldBytes.get()).isLessThanOrEqualTo(BUDGET_BYTES);
-    Socket quick = call("/stream", "quick", "other", 3);
-    assertThat(readHead(quick.getInputStream())).startsWith("HTTP/1.1 200");
+    Socket fast = call("/stream", "quick", "other", 3);
+    assertThat(readHead(fast.getInputStream())).startsWith("HTTP/1.1 200");
     assertThat(metrics.memory().rejected()).isZero();
-    for (Socket caller : stopped) {
+    for (Socket caller : stalled) {
       caller.setSoTimeout(1_000);
     }
-    assertThat(readToEnd(stopped.get(0))).isLessThan(20_000L * EVENT_BYTES);
+    assertThat(readToEnd(stalled.get(0))).isLessThan(20_000L * EVENT_BYTES);
   }
 
   @Test
@@ -376,7 +379,7 @@
     assertThat(head).startsWith("HTTP/1.1 502").doesNotContainIgnoringCase("retry-after");
     assertThat(maxHeldBytes.get()).isLessThanOrEqualTo(BUDGET_BYTES);
     assertThat(metrics.memory().aborted()).isEqualTo(1);
-    // The memory is freed once the answer has been written, so a moment after its caller has it.
+    // The memory is released after the write, so shortly after the caller got the response.
     await(() -> heldBytes() == 0);
   }
 
@@ -395,7 +398,7 @@
     assertThat(heads).hasSize(1);
     assertThat(heads.get(0)).startsWith("HTTP/1.1 503").containsIgnoringCase("retry-after: 1.000");
     assertThat(metrics.memory().aborted()).isZero();
-    assertThat(callsStarted.get()).as("what waits is no call under way").isZero();
+    assertThat(callsStarted.get()).as("queued requests are not sent to engines").isZero();
   }
 
   private void fillEngine() {
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestStartupRetryDelay.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestStartupRetryDelay.java
@@ -24,11 +24,11 @@
 
   @Test
   void laterPhasesHaveShorterDelays() {
-    long toldNothingMs = retryAfterMs(Phase.NO_COORDINATOR, 0, NO_DEADLINE_MS, 0.5);
-    long withoutLeaderMs = retryAfterMs(Phase.NO_LEADER, 0, NO_DEADLINE_MS, 0.5);
-    long withoutListMs = retryAfterMs(Phase.LIST_MISSING, 0, NO_DEADLINE_MS, 0.5);
-    assertThat(withoutLeaderMs).isLessThan(toldNothingMs);
-    assertThat(withoutListMs).isLessThan(withoutLeaderMs);
+    long noCoordinatorMs = retryAfterMs(Phase.NO_COORDINATOR, 0, NO_DEADLINE_MS, 0.5);
+    long noLeaderMs = retryAfterMs(Phase.NO_LEADER, 0, NO_DEADLINE_MS, 0.5);
+    long listMissingMs = retryAfterMs(Phase.LIST_MISSING, 0, NO_DEADLINE_MS, 0.5);
+    assertThat(noLeaderMs).isLessThan(noCoordinatorMs);
+    assertThat(listMissingMs).isLessThan(noLeaderMs);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
@@ -8,24 +8,25 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * One tenant's requests at many gateways on virtual time, with heartbeats to one leader.
+ * Simulates one tenant's requests at many gateways that send heartbeats to one leader, in virtual
+ * time.
  *
- * <p>Requests come at random gateways as a Poisson process. What was admitted and what was refused
- * is judged by sliding windows over all gateways, as the tenant's contract counts.
+ * <p>Requests arrive at random gateways as a Poisson process. Admissions and refusals are evaluated
+ * in sliding windows over all gateways, as the tenant's contract defines them.
  */
 final class LimitSimulation {
   static final long WINDOW_MS = 5_000;
   private static final long HEARTBEAT_MS = 300;
   private static final long FIRST_STEP_MS = 2_000;
 
-  /** One way of keeping the limit. */
+  /** A strategy to enforce the limit. */
   interface Strategy {
     boolean admit(int gateway, long nowMs, boolean leaderAnswers);
 
     void heartbeat(int gateway, long nowMs);
   }
 
-  /** The contract: how far above the limit a window may be is the caller's matter. */
+  /** Results of a run. The caller decides how far a window may exceed the limit. */
   record Outcome(int maxInWindow, int requests, int refused, int refusedWithinLimit) {
     double refusedWithinLimitShare() {
       return requests == 0 ? 0 : (double) refusedWithinLimit / requests;
@@ -40,53 +41,58 @@
   private final long leaderDownUntilMs;
 
   LimitSimulation(
-      int gateways, CallerTenant tenant, long seed, double lostShare, long goneMs, long goneForMs) {
+      int gateways,
+      CallerTenant tenant,
+      long seed,
+      double lossRate,
+      long downFromMs,
+      long downForMs) {
     this.gateways = gateways;
     this.tenant = tenant;
     this.random = new Random(seed);
-    this.lossRate = lostShare;
-    this.leaderDownFromMs = goneMs;
-    this.leaderDownUntilMs = goneMs + goneForMs;
+    this.lossRate = lossRate;
+    this.leaderDownFromMs = downFromMs;
+    this.leaderDownUntilMs = downFromMs + downForMs;
   }
 
   private boolean leaderAnswers(long nowMs) {
-    boolean gone = nowMs >= leaderDownFromMs && nowMs < leaderDownUntilMs;
-    return !gone && random.nextDouble() >= lossRate;
+    boolean down = nowMs >= leaderDownFromMs && nowMs < leaderDownUntilMs;
+    return !down && random.nextDouble() >= lossRate;
   }
 
-  /** Plays {@code durationMs} of traffic at a rate that changes with time. */
-  Outcome run(Strategy way, LongToDoubleFunction requestsPerSecond, long durationMs) {
+  /** Simulates {@code durationMs} of traffic with a request rate that varies over time. */
+  Outcome run(Strategy strategy, LongToDoubleFunction requestsPerSecond, long durationMs) {
     SlidingWindowCounter admitted = new SlidingWindowCounter(WINDOW_MS);
-    SlidingWindowCounter asked = new SlidingWindowCounter(WINDOW_MS);
+    SlidingWindowCounter requested = new SlidingWindowCounter(WINDOW_MS);
     double limit = tenant.maxRequestsIn(WINDOW_MS);
-    int most = 0;
-    int count = 0;
+    int max = 0;
+    int requests = 0;
     int refused = 0;
-    int refusedInside = 0;
+    int refusedWithinLimit = 0;
     long[] nextHeartbeat = random.longs(gateways, 0, HEARTBEAT_MS).toArray();
     for (long now = 0; now < durationMs; now++) {
       for (int gateway = 0; gateway < gateways; gateway++) {
         if (now >= nextHeartbeat[gateway]) {
           nextHeartbeat[gateway] = now + HEARTBEAT_MS;
           if (leaderAnswers(now)) {
-            way.heartbeat(gateway, now);
+            strategy.heartbeat(gateway, now);
           }
         }
       }
       for (int i = arrivals(requestsPerSecond.applyAsDouble(now)); i > 0; i--) {
-        count++;
-        asked.add(now);
-        boolean inside = asked.total(now) <= limit;
-        if (way.admit(random.nextInt(gateways), now, leaderAnswers(now))) {
+        requests++;
+        requested.add(now);
+        boolean withinLimit = requested.total(now) <= limit;
+        if (strategy.admit(random.nextInt(gateways), now, leaderAnswers(now))) {
           admitted.add(now);
         } else {
           refused++;
-          refusedInside += inside ? 1 : 0;
+          refusedWithinLimit += withinLimit ? 1 : 0;
         }
       }
-      most = Math.max(most, admitted.total(now));
+      max = Math.max(max, admitted.total(now));
     }
-    return new Outcome(most, count, refused, refusedInside);
+    return new Outcome(max, requests, refused, refusedWithinLimit);
   }
 
   private int arrivals(double perSecond) {
@@ -100,13 +106,13 @@
     return arrivals;
   }
 
-  /** Traffic in steps: low, then high, by turns. */
+  /** Returns traffic that alternates between a low and a high rate. */
   static LongToDoubleFunction steps(double low, double high, long lowMs, long highMs) {
     return now ->
         now < FIRST_STEP_MS || (now - FIRST_STEP_MS) % (lowMs + highMs) < lowMs ? low : high;
   }
 
-  /** Each gateway has the same fixed share of the limit. */
+  /** Each gateway enforces an equal, fixed share of the limit. */
   Strategy equalShares() {
     List<SlidingWindowCounter> own = windows();
     double share = tenant.maxRequestsIn(WINDOW_MS) / gateways;
@@ -125,16 +131,16 @@
     };
   }
 
-  /** Each gateway admits on the sum of all windows as it was told last. */
+  /** Each gateway admits by the sum of all windows in its latest heartbeat reply. */
   Strategy reportedSums() {
     List<SlidingWindowCounter> own = windows();
     int[] reported = new int[gateways];
-    int[] toldOthers = new int[gateways];
+    int[] othersTotal = new int[gateways];
     double limit = tenant.maxRequestsIn(WINDOW_MS);
     return new Strategy() {
       @Override
       public boolean admit(int gateway, long nowMs, boolean leaderAnswers) {
-        boolean fits = toldOthers[gateway] + own.get(gateway).total(nowMs) + 1 <= limit;
+        boolean fits = othersTotal[gateway] + own.get(gateway).total(nowMs) + 1 <= limit;
         if (fits) {
           own.get(gateway).add(nowMs);
         }
@@ -148,12 +154,12 @@
         for (int count : reported) {
           sum += count;
         }
-        toldOthers[gateway] = sum - reported[gateway];
+        othersTotal[gateway] = sum - reported[gateway];
       }
     };
   }
 
-  /** The code of the gateways and of the leader. */
+  /** The production strategy: local admission until the tenant is contended. */
   Strategy leaderWhenContended() {
     TenantLedger ledger = new TenantLedger(WINDOW_MS);
     List<AdmissionController> admissions = new ArrayList<>();
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitStrategyTable.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitStrategyTable.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Prints three ways of keeping a limit side by side, for docs/design/tenant-limits.md. */
+/** Prints a comparison of three limit strategies for docs/design/tenant-limits.md. */
 final class LimitStrategyTable {
   private static final long DURATION_MS = 40_000;
   private static final long SEED = 7;
@@ -14,8 +14,8 @@
   public static void main(String[] args) {
     for (int gateways : new int[] {10, 47, 300}) {
       for (double rate : new double[] {3, 30, 92}) {
-        for (double asked : new double[] {0.8, 2, 4}) {
-          printRows(gateways, new CallerTenant("t", List.of(), 0, rate, rate), asked * rate);
+        for (double load : new double[] {0.8, 2, 4}) {
+          printRows(gateways, new CallerTenant("t", List.of(), 0, rate, rate), load * rate);
         }
       }
     }
@@ -25,7 +25,7 @@
     for (String name : List.of("equal shares", "told sums", "leader when contended")) {
       LimitSimulation simulation =
           new LimitSimulation(gateways, tenant, SEED, 0, Long.MAX_VALUE / 2, 0);
-      LimitSimulation.Strategy way =
+      LimitSimulation.Strategy strategy =
           switch (name) {
             case "equal shares" -> simulation.equalShares();
             case "told sums" -> simulation.reportedSums();
@@ -33,7 +33,7 @@
           };
       LimitSimulation.Outcome outcome =
           simulation.run(
-              way, LimitSimulation.steps(0.38 * mean, 1.87 * mean, 3_400, 2_400), DURATION_MS);
+              strategy, LimitSimulation.steps(0.38 * mean, 1.87 * mean, 3_400, 2_400), DURATION_MS);
       System.out.printf(
           Locale.ROOT,
           "| %d | %.0f | %.1f | %s | %d | %.1f |%n",
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/TestTenantLimits.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/TestTenantLimits.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Limits over all gateways together: never exceeded, and little refused inside them. */
+/** Limits across gateways must not be exceeded, and few requests within them may be refused. */
 class TestTenantLimits {
   private static final long NEVER_MS = Long.MAX_VALUE / 2;
   private static final long DURATION_MS = 40_000;
   private static final long WINDOW_MS = LimitSimulation.WINDOW_MS;
 
-  /** What the contract of such limits allows beyond them: a tenth and 20 requests. */
+  /** The contract allows a tenth and 20 requests above the limit. */
   private static final double EXCESS_FACTOR = 1.1;
 
   private static final double EXCESS_REQUESTS = 20;
@@ -44,18 +44,20 @@
   void fewRequestsWithinLimitAreRefused(int gateways) {
     for (double rate : new double[] {3, 30, 92}) {
       CallerTenant tenant = tenant(rate, rate);
-      int asked = 0;
-      int refusedInside = 0;
+      int requests = 0;
+      int refusedWithinLimit = 0;
       for (int seed = 0; seed < SEEDS; seed++) {
         LimitSimulation simulation = withoutFaults(gateways, tenant, seed);
         LimitSimulation.Outcome outcome =
             simulation.run(simulation.leaderWhenContended(), steps(0.8 * rate), DURATION_MS);
-        asked += outcome.requests();
-        refusedInside += outcome.refusedWithinLimit();
+        requests += outcome.requests();
+        refusedWithinLimit += outcome.refusedWithinLimit();
       }
-      assertThat(refusedInside)
-          .as("%s gateways, rate %s: refused of %s inside the limit", gateways, rate, asked)
-          .isLessThanOrEqualTo(asked / 200);
+      assertThat(refusedWithinLimit)
+          .as(
+              "%s gateways, rate %s: refused within the limit, of %s requests",
+              gateways, rate, requests)
+          .isLessThanOrEqualTo(requests / 200);
     }
   }
 
@@ -87,12 +89,12 @@
         .isLessThanOrEqualTo(maxAllowed(tenant));
   }
 
-  /** The two other ways fail one promise or the other where this one keeps both. */
+  /** The alternatives refuse requests within the limit or exceed it. */
   @Test
   void simplerStrategiesBreakTheContract() {
     CallerTenant tenant = tenant(30, 30);
-    LimitSimulation calm = withoutFaults(47, tenant, 1);
-    LimitSimulation.Outcome shares = calm.run(calm.equalShares(), steps(24), DURATION_MS);
+    LimitSimulation normal = withoutFaults(47, tenant, 1);
+    LimitSimulation.Outcome shares = normal.run(normal.equalShares(), steps(24), DURATION_MS);
     LimitSimulation flood = withoutFaults(47, tenant, 1);
     LimitSimulation.Outcome sums = flood.run(flood.reportedSums(), steps(120), DURATION_MS);
     assertThat(shares.refusedWithinLimitShare()).isGreaterThan(1.0 / 20);
--- a/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Gateways that choose engines in crests of load, in steps of time, without a network. */
+/** Simulates gateways that choose engines in load peaks, in time steps and without a network. */
 final class LoadSimulation {
   private static final int ENGINES = 20;
   private static final int SLOTS = 8;
@@ -35,16 +35,16 @@
   private static final long NETWORK_MS = 1;
 
   /**
-   * What varies.
+   * Parameters of a run.
    *
    * @param lossRate the share of datagrams that are lost
-   * @param oneCrashes whether a gateway ends in a crest without a word
+   * @param oneCrashes whether a gateway crashes during a peak
    */
   record Conditions(int gateways, boolean shared, double lossRate, boolean oneCrashes, long seed) {}
 
   /**
-   * What happened: the requests of crests, those of them that found all places taken, and how many
-   * datagrams a gateway received in a second.
+   * Results: the requests of peaks, how many of them found all slots taken, and the datagrams
+   * received per gateway and second.
    */
   record Outcome(int requests, int foundFull, double receivedPerS) {
     double foundFullShare() {
@@ -102,7 +102,7 @@
       table.update(listed);
     }
 
-    void request(boolean counts) {
+    void request(boolean duringPeak) {
       List<EngineState> usable = table.usable("s", Set.of(), nowMs);
       EngineState chosen = choice.choose(usable, Prompt.UNKNOWN, nowMs).orElseThrow().engine();
       chosen.onStart(nowMs);
@@ -112,12 +112,12 @@
       }
       long sentMs = nowMs;
       Engine engine = engines.get(chosen.instance().id());
-      schedule(NETWORK_MS, () -> arrive(engine, chosen, sentMs, counts));
+      schedule(NETWORK_MS, () -> arrive(engine, chosen, sentMs, duringPeak));
     }
 
-    private void arrive(Engine engine, EngineState chosen, long sentMs, boolean counts) {
-      requests += counts ? 1 : 0;
-      foundFull += counts && engine.running == SLOTS ? 1 : 0;
+    private void arrive(Engine engine, EngineState chosen, long sentMs, boolean duringPeak) {
+      requests += duringPeak ? 1 : 0;
+      foundFull += duringPeak && engine.running == SLOTS ? 1 : 0;
       engine.arrive(() -> begin(engine, chosen, sentMs));
     }
 
@@ -146,12 +146,12 @@
       schedule(SendSchedule.intervalMs(active), this::tick);
     }
 
-    private void broadcast(SendSchedule.Recipients whom, Map<Long, Integer> calls) {
-      if (whom == SendSchedule.Recipients.NONE) {
+    private void broadcast(SendSchedule.Recipients recipients, Map<Long, Integer> calls) {
+      if (recipients == SendSchedule.Recipients.NONE) {
         return;
       }
-      int holdMs = SendSchedule.ttlMs(peers.activePeers(nowMs).size());
-      byte[] bytes = new LoadDatagram(id, 1, ++sequence, holdMs, calls).encode();
+      int ttlMs = SendSchedule.ttlMs(peers.activePeers(nowMs).size());
+      byte[] bytes = new LoadDatagram(id, 1, ++sequence, ttlMs, calls).encode();
       for (Gateway peer : gateways) {
         if (peer != this && random.nextDouble() >= conditions.lossRate()) {
           datagrams++;
@@ -161,7 +161,8 @@
     }
 
     private void receive(byte[] bytes) {
-      LoadDatagram.decode(ByteBuffer.wrap(bytes)).ifPresent(told -> peers.accept(told, nowMs));
+      LoadDatagram.decode(ByteBuffer.wrap(bytes))
+          .ifPresent(datagram -> peers.accept(datagram, nowMs));
       InFlightCalls.applyPeerCalls(table, peers);
     }
   }
@@ -192,7 +193,6 @@
     gateways.forEach(gateway -> gateway.peers.setKnownPeers(ids));
   }
 
-  /** Plays all crests. */
   static Outcome run(Conditions conditions) {
     return new LoadSimulation(conditions).run();
   }
@@ -212,9 +212,9 @@
       if (conditions.oneCrashes() && nowMs == CRASH_MS) {
         gateways.get(0).crashed = true;
       }
-      boolean crest = nowMs % PEAK_INTERVAL_MS < PEAK_MS;
-      if (random.nextDouble() < (crest ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS)) {
-        randomGateway().request(crest);
+      boolean peak = nowMs % PEAK_INTERVAL_MS < PEAK_MS;
+      if (random.nextDouble() < (peak ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS)) {
+        randomGateway().request(peak);
       }
     }
     double seconds = DURATION_MS / 1_000.0;
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadDatagram.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadDatagram.java
@@ -19,12 +19,12 @@
   @Property(tries = 200)
   void encodedDatagramsDecodeUnchanged(
       @ForAll long sender,
-      @ForAll long life,
+      @ForAll long incarnation,
       @ForAll long sequence,
-      @ForAll @IntRange(max = LoadDatagram.MAX_TTL_MS) int holdMs,
+      @ForAll @IntRange(max = LoadDatagram.MAX_TTL_MS) int ttlMs,
       @ForAll @Size(max = LoadDatagram.MAX_ENGINES)
           Map<Long, @IntRange(min = 1, max = LoadDatagram.MAX_CALLS) Integer> calls) {
-    LoadDatagram datagram = new LoadDatagram(sender, life, sequence, holdMs, calls);
+    LoadDatagram datagram = new LoadDatagram(sender, incarnation, sequence, ttlMs, calls);
     byte[] bytes = datagram.encode();
     assertThat(bytes.length).isLessThanOrEqualTo(LoadDatagram.MAX_BYTES);
     assertThat(LoadDatagram.decode(ByteBuffer.wrap(bytes))).contains(datagram);
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadExchange.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadExchange.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Real exchanges on loopback, all on one event loop. */
+/** Uses real exchanges on loopback that share one event loop. */
 class TestLoadExchange {
   private static final long TIMEOUT_S = 10;
 
@@ -36,7 +36,7 @@
   private final EventLoop eventLoop = group.next();
   private final List<Node> nodes = new ArrayList<>();
 
-  /** One gateway's share in the exchange. */
+  /** A gateway that takes part in the exchange. */
   private final class Node {
     final String name;
     final HostPort listen = new HostPort("127.0.0.1", freePort());
@@ -96,17 +96,17 @@
     nodes.forEach(node -> await(() -> !node.exchange.address().isEmpty()));
     Map<String, FleetProcess> processes = new HashMap<>();
     nodes.forEach(node -> processes.put(node.name, node.describe(true)));
-    FleetView none = FleetView.EMPTY;
+    FleetView unknown = FleetView.EMPTY;
     FleetView view =
         new FleetView(
-            none.routes(),
-            none.engines(),
+            unknown.routes(),
+            unknown.engines(),
             processes,
-            none.jobsFounders(),
-            none.jobsGroups(),
-            none.assignedGroup(),
-            none.leavingMembers(),
-            none.quarantine());
+            unknown.jobsFounders(),
+            unknown.jobsGroups(),
+            unknown.assignedGroup(),
+            unknown.leavingMembers(),
+            unknown.quarantine());
     nodes.forEach(node -> runOnEventLoop(() -> node.exchange.onChange(view)));
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestPeerLoads.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestPeerLoads.java
@@ -18,9 +18,9 @@
     peers.setKnownPeers(Set.of(A, B));
   }
 
-  private boolean receive(long sender, long life, long sequence, int calls, long nowMs) {
+  private boolean receive(long sender, long incarnation, long sequence, int calls, long nowMs) {
     Map<Long, Integer> told = calls == 0 ? Map.of() : Map.of(ENGINE, calls);
-    return peers.accept(new LoadDatagram(sender, life, sequence, TTL_MS, told), nowMs);
+    return peers.accept(new LoadDatagram(sender, incarnation, sequence, TTL_MS, told), nowMs);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestSendSchedule.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestSendSchedule.java
@@ -67,12 +67,12 @@
   }
 
   private static int sentIn(long lengthMs, int active) {
-    SendSchedule pace = new SendSchedule();
+    SendSchedule schedule = new SendSchedule();
     int sent = 0;
     for (long nowMs = 0; nowMs < lengthMs; nowMs++) {
       Map<Long, Integer> calls = Map.of(7L, (int) nowMs + 1);
-      sent += pace.onCallStart(calls, active, nowMs) == NONE ? 0 : 1;
-      sent += pace.onInterval(calls, active, nowMs) == NONE ? 0 : 1;
+      sent += schedule.onCallStart(calls, active, nowMs) == NONE ? 0 : 1;
+      sent += schedule.onInterval(calls, active, nowMs) == NONE ? 0 : 1;
     }
     return sent;
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestSharedLoad.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestSharedLoad.java
@@ -7,11 +7,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** In crests, callers wait where a full engine is chosen while another has room. */
+/**
+ * Without shared counts, requests in load peaks wait at full engines while others have free slots.
+ */
 class TestSharedLoad {
   private static final int SEEDS = 5;
 
-  /** The sum over some seeds. */
+  /** Sums over several seeds; the received rate is the maximum. */
   private static Outcome run(int gateways, boolean shared, double lossShare, boolean oneDies) {
     int requests = 0;
     int foundFull = 0;
