--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
@@ -15,7 +15,7 @@
     EventLoop eventLoop,
     EngineTransport transport,
     EngineTable engines,
-    EngineLoadBalancer choice,
+    EngineLoadBalancer loadBalancer,
     ForwardingSettings settings,
     SilenceTimeout silenceTimeout,
     RequestMetrics metrics,
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -76,7 +76,7 @@
       BatchCalls batch,
       TenantLimiter limiter,
       EngineTransport transport,
-      EngineLoadBalancer choice,
+      EngineLoadBalancer loadBalancer,
       RequestMetrics metrics) {
     this.protocol = protocol;
     this.view = view;
@@ -91,7 +91,7 @@
             eventLoop,
             transport,
             engines,
-            choice,
+            loadBalancer,
             ForwardingSettings.DEFAULT,
             new SilenceTimeout(ForwardingSettings.DEFAULT),
             metrics,
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -70,7 +70,7 @@
     follower.onContention(limiter::onContendedTenants);
     JobsGroupLocator jobs = new JobsGroupLocator(pool, RetryTimer.on(eventLoops), follower::view);
     RequestMetrics metrics = new RequestMetrics();
-    QuarantiningTransport watch = createEngineWatch(eventLoop);
+    QuarantiningTransport transport = createEngineTransport(eventLoop);
     gateway =
         new Gateway(
             eventLoop,
@@ -81,7 +81,7 @@
             follower::isConfirmed,
             new BatchCalls(jobs, adapter.callers()),
             limiter,
-            watch,
+            transport,
             new EngineLoadBalancer(fleet.zone(), startNs),
             metrics);
     LoadMetrics loadMetrics = new LoadMetrics();
@@ -90,7 +90,7 @@
       gateway.onPeriodicCheck(loadExchange::openIfNeeded);
       gateway.onCallStarted(loadExchange::onCallStarted);
     }
-    follower.onChange(view -> onChange(view, watch));
+    follower.onChange(view -> onChange(view, transport));
     callerServer =
         resources.push(
             new HttpServer(
@@ -139,7 +139,7 @@
         settings.shareLoad());
   }
 
-  private QuarantiningTransport createEngineWatch(EventLoop eventLoop) {
+  private QuarantiningTransport createEngineTransport(EventLoop eventLoop) {
     EngineCrashReporter reporter =
         new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
     follower.onNewLeader(reporter::onNewLeader);
@@ -149,8 +149,8 @@
         transport, liveness, reporter, eventLoop, engine -> gateway.onEngineEnded(engine));
   }
 
-  private void onChange(FleetView view, QuarantiningTransport watch) {
-    watch.updateQuarantine(view.quarantine());
+  private void onChange(FleetView view, QuarantiningTransport transport) {
+    transport.updateQuarantine(view.quarantine());
     gateway.onChange(view);
     loadExchange.onChange(view);
     if (view.routes() != null) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -132,7 +132,7 @@
     Dispatchable.DispatchAttributes attributes = request.attributes();
     List<EngineState> candidates = candidates(attributes.service(), request.triedEngineIds());
     if (attributes.mayBeRejected()) {
-      double waitMs = QueuePolicy.expectedWaitMs(rooms(candidates), service.times);
+      double waitMs = QueuePolicy.expectedWaitMs(capacities(candidates), service.times);
       reject(service, request, "too many requests wait", Math.round(waitMs));
     } else {
       request.sendTo(preferred(candidates));
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Sends queued requests in order while an engine has room or any request is overdue. Requests
-   * ahead of an overdue one are sent first, since the engines' queues keep the order.
+   * Sends queued requests in order while an engine has capacity or any hold has expired. Requests
+   * ahead of an expired one are sent first, since the engines' queues keep the order.
    */
   private void dispatch(ServiceState service) {
     Optional<WaitingRequest<Dispatchable>> next = service.queue.peek();
@@ -219,8 +219,8 @@
     Dispatchable.DispatchAttributes attributes = request.attributes();
     List<EngineState> candidates = candidates(attributes.service(), request.triedEngineIds());
     QueueDecision decision = decide(service, attributes, next.holdUntilMs(), candidates);
-    boolean overdue = service.queue.hasExpiredHold(clockMs.getAsLong());
-    if (decision instanceof QueueDecision.Wait && !overdue) {
+    boolean holdExpired = service.queue.hasExpiredHold(clockMs.getAsLong());
+    if (decision instanceof QueueDecision.Wait && !holdExpired) {
       return false;
     }
     service.queue.poll();
@@ -243,7 +243,7 @@
     QueuePolicy.Request request =
         new QueuePolicy.Request(
             attributes.dueMs(), attributes.deadlineMs(), holdUntilMs, attributes.mayBeRejected());
-    return QueuePolicy.decide(request, rooms(candidates), service.times, clockMs.getAsLong());
+    return QueuePolicy.decide(request, capacities(candidates), service.times, clockMs.getAsLong());
   }
 
   private List<EngineState> candidates(String service, Set<String> excludedIds) {
@@ -252,18 +252,18 @@
     return usable.isEmpty() ? engines.inService(service, excludedIds, nowMs) : usable;
   }
 
-  private List<EngineCapacity> rooms(List<EngineState> candidates) {
-    return candidates.stream().map(this::room).toList();
+  private List<EngineCapacity> capacities(List<EngineState> candidates) {
+    return candidates.stream().map(this::capacity).toList();
   }
 
-  /** Returns the engines that may have room, or all if none has. */
+  /** Returns the engines that may have capacity, or all if none has. */
   private List<EngineState> preferred(List<EngineState> candidates) {
     List<EngineState> notFull =
-        candidates.stream().filter(engine -> !room(engine).isKnownFull()).toList();
+        candidates.stream().filter(engine -> !capacity(engine).isKnownFull()).toList();
     return notFull.isEmpty() ? candidates : notFull;
   }
 
-  private EngineCapacity room(EngineState engine) {
+  private EngineCapacity capacity(EngineState engine) {
     long nowMs = clockMs.getAsLong();
     return new EngineCapacity(
         engine.instance().slots(),
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -141,7 +141,7 @@
       finishUnserved("the configuration does not allow the request any more");
       return;
     }
-    Optional<Placement> placement = context.choice().choose(candidates, prompt, now);
+    Optional<Placement> placement = context.loadBalancer().choose(candidates, prompt, now);
     if (placement.isEmpty()) {
       finishUnserved("no engine left");
       return;
@@ -187,16 +187,16 @@
     if (finished || attempt == null || isReadPaused(nowMs)) {
       return;
     }
-    long limit = context.silenceTimeout().timeoutMs(request.promptTokens());
+    long timeoutMs = context.silenceTimeout().timeoutMs(request.promptTokens());
     boolean silent =
-        attempt.engine().silenceMs(nowMs) > limit && nowMs - attempt.lastProgressMs > limit;
+        attempt.engine().silenceMs(nowMs) > timeoutMs && nowMs - attempt.lastProgressMs > timeoutMs;
     if (!silent) {
       return;
     }
     attempt.engine().onFailure(nowMs);
     if (budget.mayRetry()) {
-      context.silenceTimeout().onTimeout(limit);
-      attempt.abandon("silent for " + limit + " ms");
+      context.silenceTimeout().onTimeout(timeoutMs);
+      attempt.abandon("silent for " + timeoutMs + " ms");
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
@@ -53,7 +53,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Passes {@code callback} whether the tenant's limit has room for one more request. */
+  /** Reports to {@code callback} whether the tenant's limit has room for one more request. */
   void admit(CallerTenant tenant, Consumer<Outcome> callback) {
     if (!tenant.isLimited()) {
       callback.accept(Outcome.ADMITTED);
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
@@ -32,7 +32,7 @@
 
   /**
    * How long a refusal by the leader applies to further requests, so that a flood costs one query
-   * per period. For a large tenant, room for a request frees every few milliseconds.
+   * per period. For a large tenant, room for another one appears every few milliseconds.
    */
   private static final long REFUSAL_TTL_MS = 50;
 
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * A complete report of one process's in-flight calls, in one datagram; a lost one is made up for by
- * the next.
+ * A complete report of one process's in-flight calls, so that a lost datagram is replaced by the
+ * next one.
  *
  * @param sender a hash of the process's name
  * @param incarnation distinguishes runs of that process
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestPeerLoads.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestPeerLoads.java
@@ -19,8 +19,9 @@
   }
 
   private boolean receive(long sender, long incarnation, long sequence, int calls, long nowMs) {
-    Map<Long, Integer> told = calls == 0 ? Map.of() : Map.of(ENGINE, calls);
-    return peers.accept(new LoadDatagram(sender, incarnation, sequence, TTL_MS, told), nowMs);
+    Map<Long, Integer> callsByEngine = calls == 0 ? Map.of() : Map.of(ENGINE, calls);
+    return peers.accept(
+        new LoadDatagram(sender, incarnation, sequence, TTL_MS, callsByEngine), nowMs);
   }
 
   @Test
