--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
@@ -26,7 +26,7 @@
 
   private boolean installing;
   private SnapshotReceiver receiver;
-  private SnapshotInstall install;
+  private SnapshotInstall pendingInstall;
 
   FollowerLog(ReplicaState state) {
     this.state = state;
@@ -58,8 +58,8 @@
 
   /** Returns the snapshot to install and clears it; null when there is none. */
   SnapshotInstall takeInstall() {
-    SnapshotInstall taken = install;
-    install = null;
+    SnapshotInstall taken = pendingInstall;
+    pendingInstall = null;
     return taken;
   }
 
@@ -181,7 +181,7 @@
             responseHeader, chunk.snapshotIndex(), nextOffset, chunk.sentAtMs()));
     if (receiver.isComplete()) {
       installing = true;
-      install = receiver.toInstall();
+      pendingInstall = receiver.toInstall();
     }
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerProgress.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerProgress.java
@@ -7,7 +7,7 @@
   long matchIndex;
 
   /** The index to rewind to when sent entries are not acknowledged in time. */
-  long resendFrom;
+  long resendFromIndex;
 
   /** The highest index that was sent to the member in this term. */
   long highestSentIndex;
@@ -35,7 +35,7 @@
   FollowerProgress(long incarnation, long nextIndex, RaftSettings settings, long nowMs) {
     this.incarnation = incarnation;
     this.nextIndex = nextIndex;
-    this.resendFrom = nextIndex;
+    this.resendFromIndex = nextIndex;
     this.retransmitMs = settings.retransmitMs();
     this.window = new CongestionWindow(settings.maxInFlightAppends());
     this.lastAcknowledgedSendMs = nowMs;
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
@@ -23,7 +23,7 @@
   private final ReplicaState state;
   private final JoinSettings settings;
   private final Set<Integer> contacts;
-  private final JoinTracker joins = new JoinTracker();
+  private final JoinTracker emptyReplicas = new JoinTracker();
   private GroupConfiguration bootstrap;
   private long nextJoinMs;
 
@@ -51,7 +51,7 @@
     if (nowMs < nextJoinMs) {
       return false;
     }
-    joins.add(state.id, state.incarnation, settings.address());
+    emptyReplicas.add(state.id, state.incarnation, settings.address());
     sendJoinRequests(false, nowMs);
     return tryBootstrap();
   }
@@ -91,7 +91,7 @@
    */
   boolean onJoinRequestWhileJoining(JoinRequest join) {
     if (!join.bootstrapped()) {
-      joins.add(join.header().from(), join.header().fromIncarnation(), join.address());
+      emptyReplicas.add(join.header().from(), join.header().fromIncarnation(), join.address());
       return tryBootstrap();
     }
     if (join.bootstrapConfiguration() == null) {
@@ -111,10 +111,10 @@
 
   private boolean tryBootstrap() {
     boolean founder = settings.founders().contains(state.id);
-    if (!founder || !joins.containsAll(settings.founders())) {
+    if (!founder || !emptyReplicas.containsAll(settings.founders())) {
       return false;
     }
-    adopt(joins.configuration(settings.founders()));
+    adopt(emptyReplicas.configuration(settings.founders()));
     return true;
   }
 
--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -78,7 +78,7 @@
   }
 
   /**
-   * Rewinds a member to {@link FollowerProgress#resendFrom} when entries sent to it were not
+   * Rewinds a member to {@link FollowerProgress#resendFromIndex} when entries sent to it were not
    * acknowledged within the retransmission timeout.
    *
    * <p>This depends on indexes and not on the number of messages in flight, since an
@@ -88,11 +88,11 @@
    */
   void rewindIfStalled(FollowerProgress follower, long nowMs) {
     boolean stalled =
-        follower.nextIndex > follower.resendFrom
+        follower.nextIndex > follower.resendFromIndex
             && nowMs - follower.lastAppendProgressMs >= follower.retransmitMs;
     if (stalled) {
       follower.window.onLoss();
-      follower.nextIndex = follower.resendFrom;
+      follower.nextIndex = follower.resendFromIndex;
       follower.rewoundAtMs = nowMs;
       follower.retransmitMs = Math.min(2 * follower.retransmitMs, MAX_RETRANSMIT_MS);
     }
@@ -102,7 +102,7 @@
     if (matchIndex > follower.matchIndex) {
       follower.matchIndex = matchIndex;
       follower.retransmitMs = settings.retransmitMs();
-      follower.resendFrom = matchIndex + 1;
+      follower.resendFromIndex = matchIndex + 1;
       follower.window.onAcknowledged(matchIndex);
       follower.lastAppendProgressMs = nowMs;
     }
@@ -133,7 +133,7 @@
       return false;
     }
     follower.nextIndex = target;
-    follower.resendFrom = target;
+    follower.resendFromIndex = target;
     follower.rewoundAtMs = nowMs;
     follower.window.onLoss();
     return true;
@@ -155,7 +155,7 @@
   /**
    * The latest send time that a quorum of voters, including the leader itself, has acknowledged.
    */
-  long quorumAcknowledgedMs(long nowMs) {
+  long quorumAcknowledgedSendMs(long nowMs) {
     return quorumValue(configuration, follower -> follower.lastAcknowledgedSendMs, nowMs);
   }
 
@@ -239,8 +239,8 @@
     for (Map.Entry<Integer, JoinAttempt> entry : joinAttempts.entrySet()) {
       int id = entry.getKey();
       JoinAttempt join = entry.getValue();
-      boolean admitted = current.find(id).isPresent() || leaving.contains(id);
-      if (!admitted && isRecent(join, nowMs)) {
+      boolean memberOrLeaving = current.find(id).isPresent() || leaving.contains(id);
+      if (!memberOrLeaving && isRecent(join, nowMs)) {
         return Optional.of(new Member(id, join.incarnation(), false, join.address()));
       }
     }
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -34,7 +34,7 @@
 
   /** The age of the latest message that a quorum has acknowledged. */
   long quorumSilenceMs(long nowMs) {
-    return nowMs - leaderState.quorumAcknowledgedMs(nowMs);
+    return nowMs - leaderState.quorumAcknowledgedSendMs(nowMs);
   }
 
   void onJoinRequest(JoinRequest join, long nowMs) {
@@ -189,7 +189,7 @@
    * Records the acknowledged send time and returns the member's progress; null when the
    * configuration does not contain the sender's incarnation.
    */
-  private FollowerProgress onAcknowledged(RaftHeader header, long sentAtMs) {
+  private FollowerProgress recordResponse(RaftHeader header, long sentAtMs) {
     FollowerProgress progress = leaderState.progress(header.from());
     if (progress == null || progress.incarnation != header.fromIncarnation()) {
       return null;
@@ -209,7 +209,7 @@
 
   private void onAppendResponse(AppendResponse response, long nowMs) {
     RaftHeader header = response.header();
-    FollowerProgress progress = onAcknowledged(header, response.sentAtMs());
+    FollowerProgress progress = recordResponse(header, response.sentAtMs());
     if (progress == null) {
       return;
     }
@@ -225,7 +225,7 @@
 
   private void onSnapshotChunkResponse(SnapshotChunkResponse response, long nowMs) {
     RaftHeader header = response.header();
-    FollowerProgress progress = onAcknowledged(header, response.sentAtMs());
+    FollowerProgress progress = recordResponse(header, response.sentAtMs());
     if (progress == null) {
       return;
     }
--- a/consensus/src/main/java/io/pathdeck/consensus/VoteTally.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/VoteTally.java
@@ -9,7 +9,7 @@
  */
 final class VoteTally {
   private final GroupConfiguration configuration;
-  private final Set<Integer> granted = new HashSet<>();
+  private final Set<Integer> grantedBy = new HashSet<>();
 
   VoteTally(GroupConfiguration configuration) {
     this.configuration = configuration;
@@ -17,11 +17,11 @@
 
   void add(int id, long incarnation) {
     if (configuration.isVoter(id, incarnation)) {
-      granted.add(id);
+      grantedBy.add(id);
     }
   }
 
   boolean isWon() {
-    return granted.size() >= configuration.quorum();
+    return grantedBy.size() >= configuration.quorum();
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SegmentedLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SegmentedLog.java
@@ -46,7 +46,7 @@
   private final Map<Integer, HardStateRecord> hardStates = new HashMap<>();
   private final Map<Integer, BootstrapRecord> bootstraps = new HashMap<>();
   private FileChannel channel;
-  private Path current;
+  private Path currentSegment;
   private long nextSequence = 1;
 
   private SegmentedLog(Path folder, long maxSegmentLength) {
@@ -143,7 +143,7 @@
     while (frame.hasRemaining()) {
       channel.write(frame);
     }
-    batch.forEach(logRecord -> track(current, logRecord));
+    batch.forEach(logRecord -> track(currentSegment, logRecord));
   }
 
   private void track(Path segment, LogRecord logRecord) {
@@ -164,9 +164,10 @@
     if (channel != null) {
       channel.close();
     }
-    current = folder.resolve(String.format("%s%012d", PREFIX, nextSequence++));
-    channel = FileChannel.open(current, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-    segments.put(current, new HashMap<>());
+    currentSegment = folder.resolve(String.format("%s%012d", PREFIX, nextSequence++));
+    channel =
+        FileChannel.open(currentSegment, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+    segments.put(currentSegment, new HashMap<>());
     List<LogRecord> headRecords = new ArrayList<>(bootstraps.values());
     headRecords.addAll(hardStates.values());
     if (!headRecords.isEmpty()) {
@@ -183,7 +184,7 @@
       boolean covered =
           segments.get(segment).entrySet().stream()
               .allMatch(e -> e.getValue() <= snapshotIndexes.getOrDefault(e.getKey(), 0L));
-      if (segment.equals(current) || !covered) {
+      if (segment.equals(currentSegment) || !covered) {
         return;
       }
       Files.deleteIfExists(segment);
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
@@ -70,7 +70,7 @@
   }
 
   /** The metadata of the newest snapshot of a group. */
-  public Optional<SnapshotMetadata> newest(int group) throws IOException {
+  public Optional<SnapshotMetadata> newestMetadata(int group) throws IOException {
     Optional<Path> file = newestFile(group);
     if (file.isEmpty()) {
       return Optional.empty();
--- a/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
@@ -25,14 +25,14 @@
 
   private final MembershipPolicy policy;
   private final Map<Integer, RaftReplica> replicas = new TreeMap<>();
-  private final Map<Integer, Long> committed = new HashMap<>();
-  private final Set<Integer> isolated = new HashSet<>();
+  private final Map<Integer, Long> commitIndexes = new HashMap<>();
+  private final Set<Integer> isolatedIds = new HashSet<>();
 
   /** By how much the clock of each replica is behind because of suspensions. */
   private final Map<Integer, Long> suspendedMs = new HashMap<>();
 
-  private final Set<Integer> suspended = new HashSet<>();
-  private final Queue<RaftMessage> network = new ArrayDeque<>();
+  private final Set<Integer> suspendedIds = new HashSet<>();
+  private final Queue<RaftMessage> messagesInFlight = new ArrayDeque<>();
   private long nowMs = 1_000;
 
   InMemoryGroup(MembershipPolicy policy) {
@@ -61,7 +61,7 @@
             nowMs,
             nowMs);
     replicas.put(id, replica);
-    isolated.remove(id);
+    isolatedIds.remove(id);
   }
 
   RaftReplica replica(int id) {
@@ -69,20 +69,20 @@
   }
 
   void isolate(int id) {
-    isolated.add(id);
+    isolatedIds.add(id);
   }
 
   void reconnect(int id) {
-    isolated.remove(id);
+    isolatedIds.remove(id);
   }
 
   /** Stops a replica and its clock; messages to it are lost. */
   void suspend(int id) {
-    suspended.add(id);
+    suspendedIds.add(id);
   }
 
   void resume(int id) {
-    suspended.remove(id);
+    suspendedIds.remove(id);
   }
 
   /** The time on a replica's clock. */
@@ -96,7 +96,7 @@
       nowMs += STEP_MS;
       replicas.forEach(
           (id, replica) -> {
-            if (suspended.contains(id)) {
+            if (suspendedIds.contains(id)) {
               suspendedMs.merge(id, STEP_MS, Long::sum);
               return;
             }
@@ -108,14 +108,14 @@
   }
 
   private void deliver() {
-    int inFlight = network.size();
+    int inFlight = messagesInFlight.size();
     for (int i = 0; i < inFlight; i++) {
-      RaftMessage message = network.poll();
+      RaftMessage message = messagesInFlight.poll();
       int to = message.header().to();
       boolean lost =
-          isolated.contains(to)
-              || suspended.contains(to)
-              || isolated.contains(message.header().from());
+          isolatedIds.contains(to)
+              || suspendedIds.contains(to)
+              || isolatedIds.contains(message.header().from());
       if (!lost && replicas.containsKey(to)) {
         replicas.get(to).receive(message, nowMs(to));
         processReady(to, replicas.get(to));
@@ -125,7 +125,7 @@
 
   private void processReady(int id, RaftReplica replica) {
     Ready ready = replica.takeReady();
-    network.addAll(ready.messages());
+    messagesInFlight.addAll(ready.messages());
     long lastIndex = 0;
     long lastTerm = 0;
     for (LogRecord logRecord : ready.records()) {
@@ -134,16 +134,18 @@
         lastTerm = entry.entry().term();
       }
     }
-    network.addAll(ready.messagesAfterSync());
+    messagesInFlight.addAll(ready.messagesAfterSync());
     if (lastIndex > 0) {
       replica.onSynced(lastIndex, lastTerm, nowMs(id));
     }
-    committed.merge(id, replica.commitIndex(), Math::max);
+    commitIndexes.merge(id, replica.commitIndex(), Math::max);
   }
 
   Optional<RaftReplica> leader() {
     return replicas.entrySet().stream()
-        .filter(entry -> !isolated.contains(entry.getKey()) && !suspended.contains(entry.getKey()))
+        .filter(
+            entry ->
+                !isolatedIds.contains(entry.getKey()) && !suspendedIds.contains(entry.getKey()))
         .map(Map.Entry::getValue)
         .filter(replica -> replica.role() == ReplicaRole.LEADER)
         .findFirst();
--- a/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
@@ -39,7 +39,7 @@
   private final Map<Integer, Node> nodes = new TreeMap<>();
   private long nowMs = 1_000;
   private long proposedBytes;
-  private int elections;
+  private int electionCount;
 
   /** Starts {@code size} voters, numbered from 1, with election timers seeded by {@code seed}. */
   RateLimitedGroup(int size, RateLimitedNetwork network, RaftSettings settings, long seed) {
@@ -119,7 +119,7 @@
     }
     boolean leads = node.replica.role() == ReplicaRole.LEADER;
     if (leads && !node.wasLeader) {
-      elections++;
+      electionCount++;
     }
     node.wasLeader = leads;
   }
@@ -147,8 +147,8 @@
   }
 
   /** How often a replica has become leader. */
-  int elections() {
-    return elections;
+  int electionCount() {
+    return electionCount;
   }
 
   /** The highest index that any replica knows to be committed. */
--- a/consensus/src/test/java/io/pathdeck/consensus/RateLimitedNetwork.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedNetwork.java
@@ -19,7 +19,8 @@
   private static final int MESSAGE_OVERHEAD_BYTES = 200;
   private static final double LATENCY_MS = 1;
 
-  private record Transit(double dueAtMs, long order, RaftMessage message, boolean received) {}
+  private record Transit(
+      double dueAtMs, long order, RaftMessage message, boolean passedIncomingLink) {}
 
   private record Route(int from, int to) {}
 
@@ -69,17 +70,17 @@
     List<RaftMessage> arrived = new ArrayList<>();
     while (!transits.isEmpty() && transits.peek().dueAtMs() <= nowMs) {
       Transit transit = transits.poll();
-      if (transit.received()) {
+      if (transit.passedIncomingLink()) {
         inFlightBytes.merge(routeOf(transit.message()), -sizeBytes(transit.message()), Long::sum);
         arrived.add(transit.message());
       } else {
-        receive(transit);
+        queueOnIncomingLink(transit);
       }
     }
     return arrived;
   }
 
-  private void receive(Transit transit) {
+  private void queueOnIncomingLink(Transit transit) {
     RaftMessage message = transit.message();
     int to = message.header().to();
     double startMs = Math.max(transit.dueAtMs(), incomingFreeAtMs.getOrDefault(to, 0.0));
--- a/consensus/src/test/java/io/pathdeck/consensus/TestLeadershipTransfer.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestLeadershipTransfer.java
@@ -74,12 +74,13 @@
     InMemoryGroup group = groupWithLeader();
     RaftReplica leader = group.leader().orElseThrow();
     int leaderId = idOf(group, leader);
-    int follower = MEMBERS.stream().filter(id -> id != leaderId).findFirst().orElseThrow();
-    int other = MEMBERS.stream().filter(id -> id != leaderId && id != follower).findFirst().get();
+    int followerId = MEMBERS.stream().filter(id -> id != leaderId).findFirst().orElseThrow();
+    int otherFollowerId =
+        MEMBERS.stream().filter(id -> id != leaderId && id != followerId).findFirst().get();
     long term = leader.term();
-    RaftReplica target = group.replica(follower);
-    target.receive(timeoutNow(other, follower, term), group.nowMs());
-    target.receive(timeoutNow(leaderId, follower, term - 1), group.nowMs());
+    RaftReplica target = group.replica(followerId);
+    target.receive(timeoutNow(otherFollowerId, followerId, term), group.nowMs());
+    target.receive(timeoutNow(leaderId, followerId, term - 1), group.nowMs());
     group.runFor(TRANSFER_MS);
     assertThat(group.leader().orElseThrow()).isSameAs(leader);
     assertThat(leader.term()).isEqualTo(term);
@@ -95,9 +96,9 @@
     group.start(4, 4, Set.of(), MEMBERS);
     group.runFor(2_000);
     RaftReplica oldLeader = group.leader().orElseThrow();
-    int leaving = oldLeader.leaderId();
+    int leavingId = oldLeader.leaderId();
     for (int id = 1; id <= 4; id++) {
-      group.replica(id).setLeaving(Set.of(leaving));
+      group.replica(id).setLeaving(Set.of(leavingId));
     }
     group.runFor(2 * TRANSFER_MS);
     assertThat(group.leader()).isPresent().get().isNotSameAs(oldLeader);
--- a/consensus/src/test/java/io/pathdeck/consensus/TestReplicationUnderLoad.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestReplicationUnderLoad.java
@@ -97,7 +97,7 @@
     burst(group);
     group.runUnderLoad(OBSERVATION_MS, COMMAND_BYTES, STEADY_INTERVAL_MS);
     double needed = (double) group.proposedBytes() * FOLLOWERS;
-    assertThat(group.elections()).as("elections").isLessThanOrEqualTo(MAX_ELECTIONS);
+    assertThat(group.electionCount()).as("elections").isLessThanOrEqualTo(MAX_ELECTIONS);
     assertThat(network.sentBytes() / needed)
         .as("bytes sent per byte needed over the whole run")
         .isLessThan(MAX_SENDS_PER_BYTE);
@@ -120,6 +120,6 @@
     assertThat(group.replica(slow).commitIndex())
         .as("committed at the slow follower")
         .isEqualTo(group.commitIndex());
-    assertThat(group.elections()).as("elections").isEqualTo(1);
+    assertThat(group.electionCount()).as("elections").isEqualTo(1);
   }
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/TestSimultaneousCampaigns.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestSimultaneousCampaigns.java
@@ -18,10 +18,10 @@
   private final InMemoryGroup group = InMemoryGroup.withLeader(MEMBERS);
 
   private List<Integer> isolateLeader() {
-    int lost = group.leader().orElseThrow().leaderId();
-    group.isolate(lost);
+    int leaderId = group.leader().orElseThrow().leaderId();
+    group.isolate(leaderId);
     group.runFor(MIN_ELECTION_TIMEOUT_MS);
-    List<Integer> others = MEMBERS.stream().filter(id -> id != lost).sorted().toList();
+    List<Integer> others = MEMBERS.stream().filter(id -> id != leaderId).sorted().toList();
     assertThat(others).allMatch(id -> group.replica(id).role() == ReplicaRole.FOLLOWER);
     return others;
   }
--- a/control/src/main/java/io/pathdeck/control/ControllerProcess.java
+++ b/control/src/main/java/io/pathdeck/control/ControllerProcess.java
@@ -136,7 +136,7 @@
     return new GroupStorage() {
       @Override
       public Optional<SnapshotMetadata> newestSnapshot(int group) throws IOException {
-        return snapshotFiles.newest(group);
+        return snapshotFiles.newestMetadata(group);
       }
 
       @Override
--- a/control/src/main/java/io/pathdeck/control/GroupRuntime.java
+++ b/control/src/main/java/io/pathdeck/control/GroupRuntime.java
@@ -115,7 +115,7 @@
       return;
     }
     lastProposalMs = clock.monotonicMs();
-    logTime.observe(stateMachine.timeMs());
+    logTime.observe(stateMachine.logTimeMs());
     long stampMs = logTime.next(clock.monotonicMs(), clock.wallMs());
     byte[] encoded = ObjectCodec.encode(new CommandEnvelope(clientId, requestId, stampMs, command));
     OptionalLong index = replica.propose(encoded, clock.monotonicMs());
--- a/control/src/main/java/io/pathdeck/control/ReplicaHost.java
+++ b/control/src/main/java/io/pathdeck/control/ReplicaHost.java
@@ -261,7 +261,7 @@
   private record HostStorage(SnapshotFiles files, StorageDuty duty) implements GroupStorage {
     @Override
     public Optional<SnapshotMetadata> newestSnapshot(int group) throws IOException {
-      return files.newest(group);
+      return files.newestMetadata(group);
     }
 
     @Override
--- a/control/src/main/java/io/pathdeck/control/SnapshotDuty.java
+++ b/control/src/main/java/io/pathdeck/control/SnapshotDuty.java
@@ -77,7 +77,7 @@
   }
 
   private void readPart(SnapshotTask.ReadPart read) throws IOException {
-    Optional<SnapshotMetadata> metadata = files.newest(read.group());
+    Optional<SnapshotMetadata> metadata = files.newestMetadata(read.group());
     Result<byte[], StorageError> part =
         files.readChunk(read.group(), read.request().offset(), PART_LENGTH);
     if (metadata.isEmpty() || !part.isOk()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
@@ -97,7 +97,7 @@
       Executor consensus) {
     this.group = group;
     this.state = state;
-    this.slack = new ItemSlack(state::timeMs);
+    this.slack = new ItemSlack(state::logTimeMs);
     this.scheduler = new ItemScheduler(engines, choice, slack);
     this.clock = clock;
     this.eventLoop = eventLoop;
@@ -139,7 +139,7 @@
       return;
     }
     nextScheduleMs = nowMs + SCHEDULE_INTERVAL_MS;
-    runs.update(state.jobs(), this::stop, nowMs, state.timeMs());
+    runs.update(state.jobs(), this::stop, nowMs, state.logTimeMs());
     abortSilentStreams(nowMs);
     giveUpExpired(nowMs);
     recordProgress(nowMs);
@@ -297,7 +297,7 @@
             run.lastEvent(),
             outcome -> consensus.execute(() -> onOutcome(run, started[0], ofTerm, outcome)));
     started[0] = stream;
-    ItemLog.started(run, engine, relativePace, run.dueMs() - state.timeMs(), slackMs, nowMs);
+    ItemLog.started(run, engine, relativePace, run.dueMs() - state.logTimeMs(), slackMs, nowMs);
     run.onStart(stream, engine, relativePace, nowMs);
     engine.onStart(nowMs);
     EngineCall call = call(run, engine);
@@ -378,7 +378,7 @@
   }
 
   private void proposeOutcome(ItemRun run, BatchOutcome outcome, String reason) {
-    long ageMs = state.timeMs() - run.job.submittedAtMs();
+    long ageMs = state.logTimeMs() - run.job.submittedAtMs();
     ItemLog.listed(run, outcome.done(), reason, ageMs, run.knownMs(clock.monotonicMs()));
     propose(new ListBatchResults(run.job.submission().jobId(), List.of(outcome)), List.of(run));
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
@@ -42,7 +42,7 @@
   TestItemScheduler() {
     engines.update(view.engines());
     EngineLoadBalancer choice = new EngineLoadBalancer("z", 1);
-    scheduler = new ItemScheduler(engines, choice, new ItemSlack(machine::timeMs));
+    scheduler = new ItemScheduler(engines, choice, new ItemSlack(machine::logTimeMs));
     addItem("patient", DUE_MS);
     addItem("overdue", LATE_DUE_MS);
     addItem("urgent", URGENT_DUE_MS);
@@ -86,7 +86,7 @@
     SubmitBatch job =
         new SubmitBatch("job-" + id, "", "r", "h", List.of(item), 3, dueAfterMs, 60_000, 0);
     machine.apply(new CommandEnvelope("", 0, ++logIndex, job));
-    runs.add(new ItemRun(machine.job("job-" + id).orElseThrow(), item, 0, machine.timeMs()));
+    runs.add(new ItemRun(machine.job("job-" + id).orElseThrow(), item, 0, machine.logTimeMs()));
   }
 
   private EngineState engine() {
--- a/state/src/main/java/io/pathdeck/state/BatchJob.java
+++ b/state/src/main/java/io/pathdeck/state/BatchJob.java
@@ -31,11 +31,11 @@
     }
   }
 
-  static BatchJob restore(BatchJobRecord saved) {
-    BatchJob job = new BatchJob(saved.submission(), saved.submittedAtMs());
-    saved.results().forEach(job::addResult);
-    saved.progress().forEach(job::recordProgress);
-    job.ended = saved.ended();
+  static BatchJob restore(BatchJobRecord jobRecord) {
+    BatchJob job = new BatchJob(jobRecord.submission(), jobRecord.submittedAtMs());
+    jobRecord.results().forEach(job::addResult);
+    jobRecord.progress().forEach(job::recordProgress);
+    job.ended = jobRecord.ended();
     return job;
   }
 
@@ -92,9 +92,10 @@
   }
 
   BatchJobRecord capture() {
-    List<BatchProgress> recorded = new ArrayList<>();
-    progress.forEach((item, events) -> recorded.add(capture(item, events)));
-    return new BatchJobRecord(submission, submittedAtMs, ended, new ArrayList<>(results), recorded);
+    List<BatchProgress> recordedProgress = new ArrayList<>();
+    progress.forEach((item, events) -> recordedProgress.add(capture(item, events)));
+    return new BatchJobRecord(
+        submission, submittedAtMs, ended, new ArrayList<>(results), recordedProgress);
   }
 
   private BatchProgress capture(String itemId, ItemProgress events) {
--- a/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
@@ -60,7 +60,7 @@
   }
 
   @Override
-  public long timeMs() {
+  public long logTimeMs() {
     return clock.nowMs();
   }
 
@@ -80,8 +80,8 @@
     if (command instanceof RecordBatchProgress progress) {
       return recordProgress(progress);
     }
-    if (command instanceof ListBatchResults list) {
-      return addOutcomes(list);
+    if (command instanceof ListBatchResults listResults) {
+      return addOutcomes(listResults);
     }
     if (command instanceof EndBatch end) {
       return endJob(end);
@@ -134,13 +134,13 @@
     return new Done();
   }
 
-  private CommandResult addOutcomes(ListBatchResults list) {
-    BatchJob job = jobs.get(list.jobId());
+  private CommandResult addOutcomes(ListBatchResults command) {
+    BatchJob job = jobs.get(command.jobId());
     if (job == null) {
-      return new Rejected(RejectionCode.NOT_FOUND, "no job " + list.jobId());
+      return new Rejected(RejectionCode.NOT_FOUND, "no job " + command.jobId());
     }
     boolean allListed = true;
-    for (BatchOutcome outcome : list.outcomes()) {
+    for (BatchOutcome outcome : command.outcomes()) {
       allListed &= job.addOutcome(outcome);
     }
     return allListed
--- a/state/src/main/java/io/pathdeck/state/DeclarationStore.java
+++ b/state/src/main/java/io/pathdeck/state/DeclarationStore.java
@@ -89,32 +89,32 @@
   public DeclarationDelta deltaTo(Declaration target) {
     Declaration upserts =
         new Declaration(
-            changed(tenants, target.tenants(), TenantSpec::name),
-            changed(services, target.services(), ServiceSpec::name),
-            changed(engines, target.engines(), EngineSpec::name));
+            addedOrChanged(tenants, target.tenants(), TenantSpec::name),
+            addedOrChanged(services, target.services(), ServiceSpec::name),
+            addedOrChanged(engines, target.engines(), EngineSpec::name));
     return new DeclarationDelta(
         upserts,
-        missing(tenants, target.tenants(), TenantSpec::name),
-        missing(services, target.services(), ServiceSpec::name),
-        missing(engines, target.engines(), EngineSpec::name));
+        removedNames(tenants, target.tenants(), TenantSpec::name),
+        removedNames(services, target.services(), ServiceSpec::name),
+        removedNames(engines, target.engines(), EngineSpec::name));
   }
 
-  private static <T> List<T> changed(
+  private static <T> List<T> addedOrChanged(
       Map<String, T> current, List<T> target, Function<T, String> name) {
-    List<T> changed = new ArrayList<>();
+    List<T> upserts = new ArrayList<>();
     for (T resource : target) {
       if (!resource.equals(current.get(name.apply(resource)))) {
-        changed.add(resource);
+        upserts.add(resource);
       }
     }
-    return changed;
+    return upserts;
   }
 
-  private static <T> List<String> missing(
+  private static <T> List<String> removedNames(
       Map<String, T> current, List<T> target, Function<T, String> name) {
-    List<String> missing = new ArrayList<>(current.keySet());
-    target.forEach(resource -> missing.remove(name.apply(resource)));
-    return missing;
+    List<String> removed = new ArrayList<>(current.keySet());
+    target.forEach(resource -> removed.remove(name.apply(resource)));
+    return removed;
   }
 
   /** Describes {@code delta} line by line, for operators. */
--- a/state/src/main/java/io/pathdeck/state/DeclarationValidator.java
+++ b/state/src/main/java/io/pathdeck/state/DeclarationValidator.java
@@ -78,8 +78,8 @@
     require(weight >= 1 && weight <= MAX_WEIGHT, label, "weight must be 1 to " + MAX_WEIGHT);
   }
 
-  private void require(boolean holds, String label, String problem) {
-    if (!holds) {
+  private void require(boolean valid, String label, String problem) {
+    if (!valid) {
       problems.add(label + ": " + problem);
     }
   }
--- a/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
@@ -47,7 +47,7 @@
   private RouteTable routeTable;
   private List<JobsGroupFounders> jobsFounders = List.of();
   private final Map<Integer, SetStoreLeaving> leavingStores = new LinkedHashMap<>();
-  private final LinkedHashSet<RequestFingerprint> quarantined = new LinkedHashSet<>();
+  private final LinkedHashSet<RequestFingerprint> quarantinedRequests = new LinkedHashSet<>();
   private long quarantineVersion;
 
   /** The route table; empty until the first one is stored. */
@@ -67,12 +67,12 @@
 
   /** The requests that must not reach engines, oldest first. */
   public QuarantineList quarantine() {
-    return new QuarantineList(quarantineVersion, List.copyOf(quarantined));
+    return new QuarantineList(quarantineVersion, List.copyOf(quarantinedRequests));
   }
 
   /** Whether a request must not reach engines. */
   public boolean isQuarantined(RequestFingerprint request) {
-    return quarantined.contains(request);
+    return quarantinedRequests.contains(request);
   }
 
   /** The version of {@link #quarantine()}. */
@@ -81,7 +81,7 @@
   }
 
   @Override
-  public long timeMs() {
+  public long logTimeMs() {
     return clock.nowMs();
   }
 
@@ -103,28 +103,28 @@
       }
       return new Done();
     }
-    if (command instanceof SetStoreLeaving store) {
-      leavingStores.put(store.memberId(), store);
+    if (command instanceof SetStoreLeaving setLeaving) {
+      leavingStores.put(setLeaving.memberId(), setLeaving);
       return new Done();
     }
-    if (command instanceof QuarantineRequests added) {
-      addToQuarantine(added.requests());
+    if (command instanceof QuarantineRequests quarantine) {
+      addToQuarantine(quarantine.requests());
       return new Done();
     }
-    if (command instanceof ReleaseRequests released) {
-      quarantineVersion += quarantined.removeAll(Set.copyOf(released.requests())) ? 1 : 0;
+    if (command instanceof ReleaseRequests release) {
+      quarantineVersion += quarantinedRequests.removeAll(Set.copyOf(release.requests())) ? 1 : 0;
       return new Done();
     }
     return new Rejected(RejectionCode.INVALID, "not a command of the fleet group");
   }
 
   private void addToQuarantine(List<RequestFingerprint> added) {
-    if (!quarantined.addAll(added)) {
+    if (!quarantinedRequests.addAll(added)) {
       return;
     }
     quarantineVersion++;
-    Iterator<RequestFingerprint> oldest = quarantined.iterator();
-    while (quarantined.size() > MAX_QUARANTINED) {
+    Iterator<RequestFingerprint> oldest = quarantinedRequests.iterator();
+    while (quarantinedRequests.size() > MAX_QUARANTINED) {
       oldest.next();
       oldest.remove();
     }
@@ -161,13 +161,13 @@
   @Override
   public void restoreSnapshot(Iterator<Object> records) {
     leavingStores.clear();
-    quarantined.clear();
+    quarantinedRequests.clear();
     quarantineVersion = QuarantineList.NONE.version();
     while (records.hasNext()) {
       Object record = records.next();
-      if (record instanceof QuarantineRecord saved) {
-        quarantineVersion = saved.quarantine().version();
-        quarantined.addAll(saved.quarantine().requests());
+      if (record instanceof QuarantineRecord quarantineRecord) {
+        quarantineVersion = quarantineRecord.quarantine().version();
+        quarantinedRequests.addAll(quarantineRecord.quarantine().requests());
       }
       if (record instanceof FleetRecord fleet) {
         clock.restore(fleet.clockMs());
--- a/state/src/main/java/io/pathdeck/state/Job.java
+++ b/state/src/main/java/io/pathdeck/state/Job.java
@@ -11,28 +11,28 @@
   private final StoredFile file;
   private final long createdAtMs;
   private final byte[][] results;
-  private final BitSet failures = new BitSet();
-  private final BitSet waiting = new BitSet();
+  private final BitSet failedItems = new BitSet();
+  private final BitSet waitingItems = new BitSet();
   private JobStatus status = JobStatus.IN_PROGRESS;
-  private long finishedAtMs;
-  private int succeeded;
-  private int failed;
-  private int leased;
+  private long endedAtMs;
+  private int succeededCount;
+  private int failedCount;
+  private int leasedCount;
 
   Job(JobSpec spec, StoredFile file, long createdAtMs) {
     this.spec = spec;
     this.file = file;
     this.createdAtMs = createdAtMs;
-    this.results = new byte[file.lines()][];
-    this.waiting.set(0, file.lines());
+    this.results = new byte[file.lineCount()][];
+    this.waitingItems.set(0, file.lineCount());
   }
 
   static Job restore(JobView view, StoredFile file) {
     Job job = new Job(view.spec(), file, view.createdAtMs());
     job.status = view.status();
-    job.finishedAtMs = view.finishedAtMs();
+    job.endedAtMs = view.finishedAtMs();
     if (view.status().isTerminal()) {
-      job.waiting.clear();
+      job.waitingItems.clear();
     }
     return job;
   }
@@ -49,8 +49,8 @@
     return createdAtMs;
   }
 
-  long finishedAtMs() {
-    return finishedAtMs;
+  long endedAtMs() {
+    return endedAtMs;
   }
 
   long deadlineMs() {
@@ -62,15 +62,15 @@
   }
 
   int waitingCount() {
-    return waiting.cardinality();
+    return waitingItems.cardinality();
   }
 
   int leasedCount() {
-    return leased;
+    return leasedCount;
   }
 
   boolean hasWaiting() {
-    return !waiting.isEmpty();
+    return !waitingItems.isEmpty();
   }
 
   byte[] itemLine(int index) {
@@ -82,36 +82,36 @@
   }
 
   boolean isFailure(int index) {
-    return failures.get(index);
+    return failedItems.get(index);
   }
 
   /** Marks the first waiting item as leased and returns its index; -1 when none is waiting. */
   int takeWaiting() {
-    int index = waiting.nextSetBit(0);
+    int index = waitingItems.nextSetBit(0);
     if (index >= 0) {
-      waiting.clear(index);
-      leased++;
+      waitingItems.clear(index);
+      leasedCount++;
     }
     return index;
   }
 
   /** Marks an item as leased while a snapshot is restored; it may already have a result. */
   void restoreLeased(int index) {
-    waiting.clear(index);
-    leased++;
+    waitingItems.clear(index);
+    leasedCount++;
   }
 
   /** Returns an item whose lease ended without a result to the waiting items. */
   void requeueItem(int index) {
-    leased--;
+    leasedCount--;
     if (!status.isTerminal() && results[index] == null) {
-      waiting.set(index);
+      waitingItems.set(index);
     }
   }
 
   /** Counts down the leased items without returning the item to the waiting ones. */
   void endLease() {
-    leased--;
+    leasedCount--;
   }
 
   /**
@@ -124,9 +124,9 @@
       return false;
     }
     setResult(index, line, success);
-    waiting.clear(index);
-    if (succeeded + failed == results.length) {
-      finish(JobStatus.COMPLETED, nowMs);
+    waitingItems.clear(index);
+    if (succeededCount + failedCount == results.length) {
+      end(JobStatus.COMPLETED, nowMs);
     }
     return true;
   }
@@ -134,26 +134,33 @@
   /** Stores a result without checks and without changing the job's status. */
   void setResult(int index, byte[] line, boolean success) {
     results[index] = line;
-    waiting.clear(index);
+    waitingItems.clear(index);
     if (success) {
-      succeeded++;
+      succeededCount++;
     } else {
-      failures.set(index);
-      failed++;
+      failedItems.set(index);
+      failedCount++;
     }
   }
 
   /** Ends the job; waiting items will not run. */
-  void finish(JobStatus terminal, long nowMs) {
+  void end(JobStatus endStatus, long nowMs) {
     if (!status.isTerminal()) {
-      status = terminal;
-      finishedAtMs = nowMs;
-      waiting.clear();
+      status = endStatus;
+      endedAtMs = nowMs;
+      waitingItems.clear();
     }
   }
 
   JobView view() {
     return new JobView(
-        spec, status, results.length, succeeded, failed, leased, createdAtMs, finishedAtMs);
+        spec,
+        status,
+        results.length,
+        succeededCount,
+        failedCount,
+        leasedCount,
+        createdAtMs,
+        endedAtMs);
   }
 }
--- a/state/src/main/java/io/pathdeck/state/JobQueues.java
+++ b/state/src/main/java/io/pathdeck/state/JobQueues.java
@@ -18,13 +18,13 @@
   /** The maximum number of items taken from one job per turn. */
   private static final int MAX_ITEMS_PER_TURN = 8;
 
-  private final Map<String, Map<String, ArrayDeque<Job>>> byService = new TreeMap<>();
+  private final Map<String, Map<String, ArrayDeque<Job>>> queuesByService = new TreeMap<>();
 
   /** One item taken from a job. */
   record TakenItem(Job job, int index) {}
 
   void add(Job job) {
-    byService
+    queuesByService
         .computeIfAbsent(job.spec().service(), key -> new LinkedHashMap<>())
         .computeIfAbsent(job.spec().tenant(), key -> new ArrayDeque<>())
         .addLast(job);
@@ -33,27 +33,27 @@
   /** Takes up to {@code maxItems} items of a service; an empty tenant means any. */
   List<TakenItem> take(String service, String tenant, int maxItems) {
     List<TakenItem> taken = new ArrayList<>();
-    Map<String, ArrayDeque<Job>> tenants = byService.get(service);
+    Map<String, ArrayDeque<Job>> tenants = queuesByService.get(service);
     if (tenants == null) {
       return taken;
     }
     while (taken.size() < maxItems) {
-      String next = tenant.isEmpty() ? firstTenantWithWork(tenants) : tenant;
-      ArrayDeque<Job> jobs = next == null ? null : tenants.get(next);
-      Job job = jobs == null ? null : firstWithWork(jobs);
+      String nextTenant = tenant.isEmpty() ? firstTenantWithWaitingJob(tenants) : tenant;
+      ArrayDeque<Job> jobs = nextTenant == null ? null : tenants.get(nextTenant);
+      Job job = jobs == null ? null : rotateToWaitingJob(jobs);
       if (job == null) {
         break;
       }
       takeItems(job, Math.min(MAX_ITEMS_PER_TURN, maxItems - taken.size()), taken);
       jobs.addLast(jobs.pollFirst());
-      rotate(tenants, next);
+      moveToEnd(tenants, nextTenant);
     }
     return taken;
   }
 
-  private static String firstTenantWithWork(Map<String, ArrayDeque<Job>> tenants) {
+  private static String firstTenantWithWaitingJob(Map<String, ArrayDeque<Job>> tenants) {
     for (Map.Entry<String, ArrayDeque<Job>> entry : tenants.entrySet()) {
-      if (firstWithWork(entry.getValue()) != null) {
+      if (rotateToWaitingJob(entry.getValue()) != null) {
         return entry.getKey();
       }
     }
@@ -61,7 +61,7 @@
   }
 
   /** Moves the first job with waiting items to the head and removes jobs that have ended. */
-  private static Job firstWithWork(ArrayDeque<Job> jobs) {
+  private static Job rotateToWaitingJob(ArrayDeque<Job> jobs) {
     jobs.removeIf(job -> job.status().isTerminal());
     for (int i = 0; i < jobs.size(); i++) {
       if (jobs.peekFirst().hasWaiting()) {
@@ -78,7 +78,7 @@
     }
   }
 
-  private static void rotate(Map<String, ArrayDeque<Job>> tenants, String tenant) {
+  private static void moveToEnd(Map<String, ArrayDeque<Job>> tenants, String tenant) {
     ArrayDeque<Job> jobs = tenants.remove(tenant);
     tenants.put(tenant, jobs);
   }
@@ -86,7 +86,7 @@
   /** The queues in order, without the jobs that have ended. */
   List<Object> records() {
     List<Object> records = new ArrayList<>();
-    byService.forEach(
+    queuesByService.forEach(
         (service, tenants) ->
             tenants.forEach((tenant, jobs) -> records.add(record(service, tenant, jobs))));
     return records;
@@ -104,13 +104,13 @@
 
   void restore(QueueRecord record, Map<String, Job> jobs) {
     ArrayDeque<Job> queue =
-        byService
+        queuesByService
             .computeIfAbsent(record.service(), key -> new LinkedHashMap<>())
             .computeIfAbsent(record.tenant(), key -> new ArrayDeque<>());
     record.jobIds().forEach(jobId -> queue.addLast(jobs.get(jobId)));
   }
 
   void clear() {
-    byService.clear();
+    queuesByService.clear();
   }
 }
--- a/state/src/main/java/io/pathdeck/state/JobsQueries.java
+++ b/state/src/main/java/io/pathdeck/state/JobsQueries.java
@@ -98,12 +98,12 @@
     List<byte[]> lines = new ArrayList<>();
     long bytes = 0;
     int index = read.fromLine();
-    for (; index < file.lines() && bytes < read.maxBytes(); index++) {
+    for (; index < file.lineCount() && bytes < read.maxBytes(); index++) {
       byte[] line = file.line(index);
       bytes += line.length;
       lines.add(line);
     }
-    return new LinesResult(lines, index < file.lines() ? index : -1);
+    return new LinesResult(lines, index < file.lineCount() ? index : -1);
   }
 
   private QueryResult readResults(ReadResults read) {
--- a/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
+++ b/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
@@ -40,7 +40,7 @@
               lease.leaseId, lease.dispatcherId, lease.expiresAtMs, new ArrayList<>(lease.items)));
     }
     records.addAll(state.queues.records());
-    records.addAll(state.keys.records());
+    records.addAll(state.idempotencyKeys.records());
     records.addAll(state.claims.records());
     return records.iterator();
   }
@@ -74,7 +74,7 @@
     state.files.clear();
     state.jobs.clear();
     state.queues.clear();
-    state.keys.clear();
+    state.idempotencyKeys.clear();
     state.claims.clear();
     while (records.hasNext()) {
       restoreRecord(state, records.next());
@@ -100,7 +100,7 @@
     } else if (next instanceof QueueRecord queue) {
       state.queues.restore(queue, state.jobs);
     } else if (next instanceof KeyRecord key) {
-      state.keys.restore(key);
+      state.idempotencyKeys.restore(key);
     } else if (next instanceof ClaimRecord claim) {
       state.claims.restore(claim);
     }
--- a/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
@@ -56,13 +56,13 @@
   final Map<String, Job> jobs = new LinkedHashMap<>();
   final LeaseTable leases = new LeaseTable();
   final ClaimTable claims = new ClaimTable();
-  final IdempotencyKeyTable keys = new IdempotencyKeyTable();
+  final IdempotencyKeyTable idempotencyKeys = new IdempotencyKeyTable();
   final JobQueues queues = new JobQueues();
   private final JobsQueries queries = new JobsQueries(this);
   long nextSweepMs;
 
   @Override
-  public long timeMs() {
+  public long logTimeMs() {
     return clock.nowMs();
   }
 
@@ -112,7 +112,7 @@
       return sealFile(seal);
     }
     if (command instanceof ReserveKey reserve) {
-      return keys.reserve(reserve, nowMs);
+      return idempotencyKeys.reserve(reserve, nowMs);
     }
     if (command instanceof ClaimRequest claim) {
       return claims.claim(claim, nowMs);
@@ -172,7 +172,7 @@
     if (file == null || !file.isSealed() || !file.belongsTo(spec.tenant())) {
       return new Rejected(RejectionCode.NOT_FOUND, "no file " + spec.fileId());
     }
-    if (file.lines() == 0) {
+    if (file.lineCount() == 0) {
       return new Rejected(RejectionCode.INVALID, "the file has no items");
     }
     Job job = new Job(spec, file, nowMs);
@@ -193,9 +193,9 @@
   }
 
   private void endJob(Job job, JobStatus status, long nowMs) {
-    job.finish(status, nowMs);
-    int dropped = leases.dropJob(job.spec().jobId());
-    for (int i = 0; i < dropped; i++) {
+    job.end(status, nowMs);
+    int removedItems = leases.removeJob(job.spec().jobId());
+    for (int i = 0; i < removedItems; i++) {
       job.endLease();
     }
   }
@@ -227,24 +227,24 @@
   }
 
   private CommandResult renewLeases(RenewLeases command, long nowMs) {
-    List<Long> lost = new ArrayList<>();
+    List<Long> lostLeaseIds = new ArrayList<>();
     for (long leaseId : command.leaseIds()) {
       long expiresAtMs = nowMs + command.leaseMs();
       if (leases.renew(leaseId, command.dispatcherId(), expiresAtMs) == null) {
-        lost.add(leaseId);
+        lostLeaseIds.add(leaseId);
       }
     }
-    List<String> ended = new ArrayList<>();
+    List<String> endedJobIds = new ArrayList<>();
     for (Job job : jobs.values()) {
       boolean endedRecently =
           job.status() != JobStatus.COMPLETED
               && job.status().isTerminal()
-              && nowMs - job.finishedAtMs() < command.leaseMs();
+              && nowMs - job.endedAtMs() < command.leaseMs();
       if (endedRecently) {
-        ended.add(job.spec().jobId());
+        endedJobIds.add(job.spec().jobId());
       }
     }
-    return new LeasesRenewed(lost, ended);
+    return new LeasesRenewed(lostLeaseIds, endedJobIds);
   }
 
   private CommandResult commitResults(CommitResults command, long nowMs) {
@@ -304,7 +304,7 @@
       }
     }
     jobs.values()
-        .removeIf(job -> job.status().isTerminal() && nowMs - job.finishedAtMs() >= RETENTION_MS);
+        .removeIf(job -> job.status().isTerminal() && nowMs - job.endedAtMs() >= RETENTION_MS);
     files
         .values()
         .removeIf(file -> nowMs - file.view().createdAtMs() >= RETENTION_MS && !isUsed(file));
--- a/state/src/main/java/io/pathdeck/state/LeaseTable.java
+++ b/state/src/main/java/io/pathdeck/state/LeaseTable.java
@@ -74,19 +74,19 @@
   }
 
   /** Removes the items of a job from all leases; returns their number. */
-  int dropJob(String jobId) {
-    int dropped = 0;
+  int removeJob(String jobId) {
+    int removed = 0;
     Iterator<Lease> iterator = leases.values().iterator();
     while (iterator.hasNext()) {
       Lease lease = iterator.next();
       int before = lease.items.size();
       lease.items.removeIf(item -> item.jobId().equals(jobId));
-      dropped += before - lease.items.size();
+      removed += before - lease.items.size();
       if (lease.items.isEmpty()) {
         iterator.remove();
       }
     }
-    return dropped;
+    return removed;
   }
 
   Collection<Lease> leases() {
--- a/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
@@ -44,7 +44,7 @@
   }
 
   @Override
-  public long timeMs() {
+  public long logTimeMs() {
     return clock.nowMs();
   }
 
@@ -92,7 +92,7 @@
     if (engine == null) {
       return new Rejected(RejectionCode.NOT_FOUND, "no engine " + command.engine());
     }
-    EngineSpec changed =
+    EngineSpec changedEngine =
         new EngineSpec(
             engine.name(),
             engine.address(),
@@ -100,7 +100,7 @@
             engine.service(),
             engine.batchSlots(),
             command.draining());
-    Declaration upsert = new Declaration(List.of(), List.of(), List.of(changed));
+    Declaration upsert = new Declaration(List.of(), List.of(), List.of(changedEngine));
     DeclarationDelta delta =
         new DeclarationDelta(upsert, new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     List<String> changes = store.describe(delta);
--- a/state/src/main/java/io/pathdeck/state/StateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/StateMachine.java
@@ -14,7 +14,7 @@
  */
 public interface StateMachine {
   /** The highest proposal time applied, snapshots included. */
-  long timeMs();
+  long logTimeMs();
 
   /** Applies a committed command. */
   CommandResult apply(CommandEnvelope envelope);
--- a/state/src/main/java/io/pathdeck/state/StoredFile.java
+++ b/state/src/main/java/io/pathdeck/state/StoredFile.java
@@ -13,8 +13,8 @@
   private final long createdAtMs;
   private final List<List<byte[]>> chunks = new ArrayList<>();
   private int[] firstLineOfChunk = new int[0];
-  private long bytes;
-  private int lines;
+  private long sizeBytes;
+  private int lineCount;
   private boolean sealed;
 
   StoredFile(String fileId, String tenant, String filename, String purpose, long createdAtMs) {
@@ -45,8 +45,8 @@
     return sealed;
   }
 
-  int lines() {
-    return lines;
+  int lineCount() {
+    return lineCount;
   }
 
   /** Adds the next chunk; a chunk that is already present is ignored. Returns false on a gap. */
@@ -58,11 +58,11 @@
       return false;
     }
     firstLineOfChunk = java.util.Arrays.copyOf(firstLineOfChunk, chunks.size() + 1);
-    firstLineOfChunk[chunks.size()] = lines;
+    firstLineOfChunk[chunks.size()] = lineCount;
     chunks.add(chunk);
-    lines += chunk.size();
+    lineCount += chunk.size();
     for (byte[] line : chunk) {
-      bytes += line.length + 1;
+      sizeBytes += line.length + 1;
     }
     return true;
   }
@@ -83,6 +83,7 @@
   }
 
   FileView view() {
-    return new FileView(fileId, tenant, filename, purpose, bytes, lines, sealed, createdAtMs);
+    return new FileView(
+        fileId, tenant, filename, purpose, sizeBytes, lineCount, sealed, createdAtMs);
   }
 }
--- a/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
@@ -38,7 +38,7 @@
 
   /** A leader, its progress and its proposals that are neither applied nor lost. */
   private final class Leader {
-    private final Deque<Command> proposed = new ArrayDeque<>();
+    private final Deque<Command> proposals = new ArrayDeque<>();
     private long recordedEvent;
     private long receivedEvent;
     private boolean resultProposed;
@@ -61,23 +61,23 @@
       if (receivedEvent == LAST_EVENT) {
         resultProposed = true;
         BatchOutcome outcome = new BatchOutcome(ITEM, true, recordedEvent, text);
-        proposed.add(new ListBatchResults(JOB, List.of(outcome)));
+        proposals.add(new ListBatchResults(JOB, List.of(outcome)));
       } else if (receivedEvent > recordedEvent) {
         BatchProgress progress = new BatchProgress(JOB, ITEM, recordedEvent, receivedEvent, text);
-        proposed.add(new RecordBatchProgress(List.of(progress)));
+        proposals.add(new RecordBatchProgress(List.of(progress)));
         recordedEvent = receivedEvent;
       }
     }
 
     void applyNext() {
-      if (!proposed.isEmpty()) {
-        apply(proposed.poll());
+      if (!proposals.isEmpty()) {
+        apply(proposals.poll());
       }
     }
 
     /** Loses the proposals and resumes from the recorded progress. */
     void loseProposals() {
-      proposed.clear();
+      proposals.clear();
       resume();
     }
   }
--- a/state/src/test/java/io/pathdeck/state/TestBatchStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchStateMachine.java
@@ -40,25 +40,25 @@
     return machine.apply(new CommandEnvelope("", 0, timeMs, command));
   }
 
-  private static SubmitBatch job(String id, int items, long maxQueuedTokens) {
-    List<BatchItem> list = new ArrayList<>();
+  private static SubmitBatch submitJob(String id, int items, long maxQueuedTokens) {
+    List<BatchItem> batchItems = new ArrayList<>();
     for (int i = 0; i < items; i++) {
       byte[] body = {(byte) i};
-      list.add(new BatchItem(id + "-" + i, "/p/" + i, Map.of("Model", "m"), body, 100, 40));
+      batchItems.add(new BatchItem(id + "-" + i, "/p/" + i, Map.of("Model", "m"), body, 100, 40));
     }
-    return new SubmitBatch(id, "", "route", "host", list, 3, 20_000, 60_000, maxQueuedTokens);
+    return new SubmitBatch(id, "", "route", "host", batchItems, 3, 20_000, 60_000, maxQueuedTokens);
   }
 
-  private static ListBatchResults list(String job, String item, boolean done, String text) {
-    return listAfter(BatchProgress.NO_EVENT, job, item, done, text);
+  private static ListBatchResults addOutcome(String job, String item, boolean done, String text) {
+    return addOutcomeAfter(BatchProgress.NO_EVENT, job, item, done, text);
   }
 
-  private static ListBatchResults listAfter(
+  private static ListBatchResults addOutcomeAfter(
       long afterEvent, String job, String item, boolean done, String text) {
     return new ListBatchResults(job, List.of(new BatchOutcome(item, done, afterEvent, text)));
   }
 
-  private static RecordBatchProgress progress(
+  private static RecordBatchProgress recordProgress(
       String job, String item, long afterEvent, long lastEvent, String text) {
     return new RecordBatchProgress(
         List.of(new BatchProgress(job, item, afterEvent, lastEvent, text)));
@@ -68,55 +68,56 @@
     return machine.job(job).orElseThrow().progress(item);
   }
 
-  private BatchResults read(String job, int from) {
+  private BatchResults readResults(String job, int from) {
     return (BatchResults) machine.query(new ReadBatchResults(job, "", from, PAGE_BYTES, 0));
   }
 
   @Test
   void resentJobIsAcceptedOnce() {
-    assertThat(apply(job("a", 2, 0))).isEqualTo(new BatchAccepted("a"));
-    assertThat(apply(list("a", "a-0", true, "x"))).isInstanceOf(Done.class);
-    assertThat(apply(job("a", 2, 0))).isEqualTo(new BatchAccepted("a"));
-    assertThat(read("a", 0).results()).hasSize(1);
+    assertThat(apply(submitJob("a", 2, 0))).isEqualTo(new BatchAccepted("a"));
+    assertThat(apply(addOutcome("a", "a-0", true, "x"))).isInstanceOf(Done.class);
+    assertThat(apply(submitJob("a", 2, 0))).isEqualTo(new BatchAccepted("a"));
+    assertThat(readResults("a", 0).results()).hasSize(1);
   }
 
   @Test
   void itemKeepsFirstOutcomeAndPosition() {
-    apply(job("a", 2, 0));
-    apply(list("a", "a-1", true, "first"));
-    apply(list("a", "a-1", false, ""));
-    apply(list("a", "a-0", true, "other"));
-    BatchResults results = read("a", 0);
+    apply(submitJob("a", 2, 0));
+    apply(addOutcome("a", "a-1", true, "first"));
+    apply(addOutcome("a", "a-1", false, ""));
+    apply(addOutcome("a", "a-0", true, "other"));
+    BatchResults results = readResults("a", 0);
     assertThat(results.results().get(0)).isEqualTo(new BatchResult("a-1", true, "first"));
-    assertThat(read("a", 1).results()).containsExactly(new BatchResult("a-0", true, "other"));
+    assertThat(readResults("a", 1).results())
+        .containsExactly(new BatchResult("a-0", true, "other"));
     assertThat(results.total()).isEqualTo(2);
   }
 
   @Test
   void pageHoldsAtLeastOneResult() {
-    apply(job("a", 2, 0));
-    apply(list("a", "a-0", true, "longer than a page"));
-    apply(list("a", "a-1", true, "longer than a page"));
-    assertThat(read("a", 0).results()).hasSize(1);
-    assertThat(read("a", 0).next()).isEqualTo(1);
+    apply(submitJob("a", 2, 0));
+    apply(addOutcome("a", "a-0", true, "longer than a page"));
+    apply(addOutcome("a", "a-1", true, "longer than a page"));
+    assertThat(readResults("a", 0).results()).hasSize(1);
+    assertThat(readResults("a", 0).next()).isEqualTo(1);
   }
 
   @Test
   void quotaCountsOnlyOpenItems() {
-    assertThat(apply(job("a", 3, 500))).isInstanceOf(BatchAccepted.class);
-    assertThat(apply(job("b", 3, 500))).isEqualTo(new QuotaExceeded(300, 500));
-    apply(list("a", "a-0", true, ""));
-    assertThat(apply(job("b", 3, 500))).isInstanceOf(BatchAccepted.class);
+    assertThat(apply(submitJob("a", 3, 500))).isInstanceOf(BatchAccepted.class);
+    assertThat(apply(submitJob("b", 3, 500))).isEqualTo(new QuotaExceeded(300, 500));
+    apply(addOutcome("a", "a-0", true, ""));
+    assertThat(apply(submitJob("b", 3, 500))).isInstanceOf(BatchAccepted.class);
   }
 
   @Test
   void endedJobFreesQuotaAndKeepsResults() {
-    apply(job("a", 3, 500));
-    apply(list("a", "a-0", true, "x"));
+    apply(submitJob("a", 3, 500));
+    apply(addOutcome("a", "a-0", true, "x"));
     assertThat(apply(new EndBatch("a", ""))).isInstanceOf(Done.class);
     assertThat(apply(new EndBatch("a", ""))).isInstanceOf(Done.class);
-    assertThat(apply(job("b", 5, 500))).isInstanceOf(BatchAccepted.class);
-    assertThat(read("a", 0).results()).hasSize(1);
+    assertThat(apply(submitJob("b", 5, 500))).isInstanceOf(BatchAccepted.class);
+    assertThat(readResults("a", 0).results()).hasSize(1);
     assertThat(machine.job("a").orElseThrow().isActive()).isFalse();
   }
 
@@ -129,79 +130,79 @@
 
   @Test
   void bodyIsReadableWhileItemIsOpen() {
-    apply(job("a", 2, 0));
+    apply(submitJob("a", 2, 0));
     BatchItemBody body = (BatchItemBody) machine.query(new ReadBatchItem("a", "", "a-1"));
     assertThat(body.body()).containsExactly(1);
-    apply(list("a", "a-1", true, ""));
+    apply(addOutcome("a", "a-1", true, ""));
     assertThat(machine.query(new ReadBatchItem("a", "", "a-1"))).isInstanceOf(BatchMissing.class);
   }
 
   @Test
   void openJobNeverExpires() {
-    apply(job("open", 1, 0));
-    apply(job("ended", 1, 0));
+    apply(submitJob("open", 1, 0));
+    apply(submitJob("ended", 1, 0));
     apply(new EndBatch("ended", ""));
     timeMs += 2 * BatchStateMachine.MIN_RETENTION_MS;
-    apply(job("new", 1, 0));
+    apply(submitJob("new", 1, 0));
     assertThat(machine.job("open")).isPresent();
     assertThat(machine.job("ended")).isEmpty();
   }
 
   @Test
   void resultStartsWithRecordedEvents() {
-    apply(job("a", 1, 0));
-    apply(progress("a", "a-0", -1, 4, "one"));
-    apply(progress("a", "a-0", 4, 9, "two"));
+    apply(submitJob("a", 1, 0));
+    apply(recordProgress("a", "a-0", -1, 4, "one"));
+    apply(recordProgress("a", "a-0", 4, 9, "two"));
     assertThat(progressOf("a", "a-0").lastEvent()).isEqualTo(9);
-    assertThat(apply(listAfter(9, "a", "a-0", true, "three"))).isInstanceOf(Done.class);
-    assertThat(read("a", 0).results())
+    assertThat(apply(addOutcomeAfter(9, "a", "a-0", true, "three"))).isInstanceOf(Done.class);
+    assertThat(readResults("a", 0).results())
         .containsExactly(new BatchResult("a-0", true, "one\ntwo\nthree"));
   }
 
   @Test
   void nonContiguousEventsAreIgnored() {
-    apply(job("a", 1, 0));
-    apply(progress("a", "a-0", -1, 4, "one"));
-    apply(progress("a", "a-0", -1, 6, "again"));
-    apply(progress("a", "a-0", 6, 9, "after a gap"));
+    apply(submitJob("a", 1, 0));
+    apply(recordProgress("a", "a-0", -1, 4, "one"));
+    apply(recordProgress("a", "a-0", -1, 6, "again"));
+    apply(recordProgress("a", "a-0", 6, 9, "after a gap"));
     assertThat(progressOf("a", "a-0").lastEvent()).isEqualTo(4);
     assertThat(progressOf("a", "a-0").text()).isEqualTo("one");
   }
 
   @Test
   void nonContiguousResultIsRejected() {
-    apply(job("a", 1, 0));
-    apply(progress("a", "a-0", -1, 4, "one"));
-    assertThat(apply(listAfter(-1, "a", "a-0", true, "whole"))).isInstanceOf(Rejected.class);
-    assertThat(apply(listAfter(5, "a", "a-0", true, "rest"))).isInstanceOf(Rejected.class);
-    assertThat(read("a", 0).results()).isEmpty();
+    apply(submitJob("a", 1, 0));
+    apply(recordProgress("a", "a-0", -1, 4, "one"));
+    assertThat(apply(addOutcomeAfter(-1, "a", "a-0", true, "whole"))).isInstanceOf(Rejected.class);
+    assertThat(apply(addOutcomeAfter(5, "a", "a-0", true, "rest"))).isInstanceOf(Rejected.class);
+    assertThat(readResults("a", 0).results()).isEmpty();
     assertThat(machine.job("a").orElseThrow().openItems()).containsKey("a-0");
   }
 
   @Test
   void itemWithProgressCanBeGivenUp() {
-    apply(job("a", 1, 0));
-    apply(progress("a", "a-0", -1, 4, "one"));
+    apply(submitJob("a", 1, 0));
+    apply(recordProgress("a", "a-0", -1, 4, "one"));
     apply(new ListBatchResults("a", List.of(BatchOutcome.givenUp("a-0"))));
-    assertThat(read("a", 0).results()).containsExactly(new BatchResult("a-0", false, ""));
+    assertThat(readResults("a", 0).results()).containsExactly(new BatchResult("a-0", false, ""));
   }
 
   @Test
   void progressOfClosedItemsIsIgnored() {
-    apply(job("a", 1, 0));
-    apply(list("a", "a-0", true, "x"));
-    assertThat(apply(progress("a", "a-0", -1, 4, "late"))).isInstanceOf(Done.class);
-    assertThat(apply(progress("nobody", "i", -1, 4, "late"))).isInstanceOf(Done.class);
+    apply(submitJob("a", 1, 0));
+    apply(addOutcome("a", "a-0", true, "x"));
+    assertThat(apply(recordProgress("a", "a-0", -1, 4, "late"))).isInstanceOf(Done.class);
+    assertThat(apply(recordProgress("nobody", "i", -1, 4, "late"))).isInstanceOf(Done.class);
     assertThat(progressOf("a", "a-0")).isEqualTo(ItemProgress.NONE);
   }
 
   @Test
   void snapshotRestoresEverything() {
-    apply(job("a", 3, 500));
-    apply(progress("a", "a-1", -1, 3, "part"));
-    apply(list("a", "a-2", true, "two"));
-    apply(list("a", "a-0", false, ""));
-    apply(job("b", 1, 0));
+    apply(submitJob("a", 3, 500));
+    apply(recordProgress("a", "a-1", -1, 3, "part"));
+    apply(addOutcome("a", "a-2", true, "two"));
+    apply(addOutcome("a", "a-0", false, ""));
+    apply(submitJob("b", 1, 0));
     apply(new EndBatch("b", ""));
     List<Object> decoded = new ArrayList<>();
     Iterator<Object> records = machine.captureSnapshot();
@@ -210,7 +211,7 @@
     }
     BatchStateMachine restored = new BatchStateMachine();
     restored.restoreSnapshot(decoded.iterator());
-    assertThat(restored.timeMs()).isEqualTo(machine.timeMs());
+    assertThat(restored.logTimeMs()).isEqualTo(machine.logTimeMs());
     assertThat(restored.query(new ReadBatchResults("a", "", 0, 1_000, 0)))
         .isEqualTo(machine.query(new ReadBatchResults("a", "", 0, 1_000, 0)));
     assertThat(restored.job("a").orElseThrow().openItems()).containsOnlyKeys("a-1");
--- a/state/src/test/java/io/pathdeck/state/TestFleetStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestFleetStateMachine.java
@@ -29,7 +29,7 @@
     return machine.apply(new CommandEnvelope("", 0, 1, command));
   }
 
-  private static PutRouteTable put(long version, String document) {
+  private static PutRouteTable putRouteTable(long version, String document) {
     return new PutRouteTable(
         new RouteTable(
             version,
@@ -47,17 +47,17 @@
 
   @Test
   void highestVersionWins() {
-    assertThat(apply(put(5, "five"))).isEqualTo(new RouteTableHeld(5));
-    assertThat(apply(put(3, "three"))).isEqualTo(new RouteTableHeld(5));
+    assertThat(apply(putRouteTable(5, "five"))).isEqualTo(new RouteTableHeld(5));
+    assertThat(apply(putRouteTable(3, "three"))).isEqualTo(new RouteTableHeld(5));
     assertThat(storedDocument()).isEqualTo("five");
-    assertThat(apply(put(9, "nine"))).isEqualTo(new RouteTableHeld(9));
+    assertThat(apply(putRouteTable(9, "nine"))).isEqualTo(new RouteTableHeld(9));
     assertThat(storedDocument()).isEqualTo("nine");
   }
 
   @Test
   void sameVersionDoesNotReplaceTable() {
-    apply(put(5, "five"));
-    assertThat(apply(put(5, "another"))).isEqualTo(new RouteTableHeld(5));
+    apply(putRouteTable(5, "five"));
+    assertThat(apply(putRouteTable(5, "another"))).isEqualTo(new RouteTableHeld(5));
     assertThat(storedDocument()).isEqualTo("five");
   }
 
@@ -76,7 +76,7 @@
 
   @Test
   void snapshotRestoresEverything() {
-    apply(put(5, "five"));
+    apply(putRouteTable(5, "five"));
     apply(new FoundJobsGroups(List.of(founders(new Member(1, 1, true, "a:1")))));
     apply(new SetStoreLeaving("store-1", 1));
     FleetStateMachine restored = new FleetStateMachine();
--- a/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
@@ -39,23 +39,24 @@
     List<CommandEnvelope> log = new ArrayList<>();
     long nowMs = 1_000;
     JobsStateMachine preview = new JobsStateMachine();
-    List<ItemResult> leased = new ArrayList<>();
+    List<ItemResult> pendingResults = new ArrayList<>();
     for (int i = 0; i < length; i++) {
       nowMs += random.nextInt(400);
-      Command command = randomCommand(random, leased);
+      Command command = randomCommand(random, pendingResults);
       CommandEnvelope envelope = new CommandEnvelope("client", i, nowMs, command);
       log.add(envelope);
       if (preview.apply(envelope) instanceof ItemsLeased items) {
         for (LeasedItem item : items.items()) {
           byte[] line = (item.jobId() + item.index()).getBytes(StandardCharsets.UTF_8);
-          leased.add(new ItemResult(item.jobId(), item.index(), items.leaseId(), true, line, 1));
+          pendingResults.add(
+              new ItemResult(item.jobId(), item.index(), items.leaseId(), true, line, 1));
         }
       }
     }
     return log;
   }
 
-  private static Command randomCommand(SplittableRandom random, List<ItemResult> leased) {
+  private static Command randomCommand(SplittableRandom random, List<ItemResult> pendingResults) {
     String job = "job-" + random.nextInt(JOBS);
     String file = "file-" + job;
     String tenant = "tenant-" + job.hashCode() % 2;
@@ -76,7 +77,7 @@
                   new HashMap<>()));
       case 4 -> random.nextInt(6) == 0 ? new CancelJob(job, "") : new SealFile(file, 1);
       case 5, 6 -> new LeaseItems("d", SERVICE, "", 1 + random.nextInt(12), 2_000);
-      default -> new CommitResults("d", takeSome(random, leased));
+      default -> new CommitResults("d", takeRandom(random, pendingResults));
     };
   }
 
@@ -88,10 +89,11 @@
     return lines;
   }
 
-  private static List<ItemResult> takeSome(SplittableRandom random, List<ItemResult> leased) {
+  private static List<ItemResult> takeRandom(
+      SplittableRandom random, List<ItemResult> pendingResults) {
     List<ItemResult> taken = new ArrayList<>();
-    while (!leased.isEmpty() && taken.size() < 5) {
-      taken.add(leased.remove(random.nextInt(leased.size())));
+    while (!pendingResults.isEmpty() && taken.size() < 5) {
+      taken.add(pendingResults.remove(random.nextInt(pendingResults.size())));
     }
     return taken;
   }
@@ -130,20 +132,20 @@
   }
 
   @Property(tries = 150, seed = "22")
-  void finishedItemIsNeverLeased(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+  void itemWithResultIsNeverLeased(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     JobsStateMachine machine = new JobsStateMachine();
-    Set<String> finished = new HashSet<>();
+    Set<String> itemsWithResult = new HashSet<>();
     for (CommandEnvelope envelope : randomLog(seed, 300)) {
       CommandResult result = machine.apply(envelope);
       if (envelope.command() instanceof CommitResults commit) {
         for (ItemResult item : commit.results()) {
-          finished.add(item.jobId() + "#" + item.index());
+          itemsWithResult.add(item.jobId() + "#" + item.index());
         }
       }
       if (result instanceof ItemsLeased leased) {
         for (LeasedItem item : leased.items()) {
           String name = item.jobId() + "#" + item.index();
-          assertThat(finished).doesNotContain(name);
+          assertThat(itemsWithResult).doesNotContain(name);
         }
       }
     }
