--- a/consensus/src/main/java/io/pathdeck/consensus/CommittedEntries.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/CommittedEntries.java
@@ -20,7 +20,7 @@
     lastTakenIndex = index;
   }
 
-  /** Discards the entries that a snapshot covers, as far as they were handed out. */
+  /** Discards the entries that a snapshot covers and {@link #take} has returned. */
   void compact(long snapshotIndex) {
     state.log.compact(Math.min(snapshotIndex, lastTakenIndex));
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
@@ -8,8 +8,8 @@
   private static final long LEAVING_DELAY_MS = 3_000;
 
   /**
-   * How long a replica defers its campaign to another candidate: the two round trips of an election
-   * and a sync on a slow machine.
+   * How long a replica defers its campaign in favor of another candidate; covers the two round
+   * trips of an election and a sync on a slow machine.
    */
   private static final long CAMPAIGN_DEFERRAL_MS = 150;
 
@@ -19,8 +19,8 @@
   private static final long STARTUP_RETRY_JITTER_MS = 300;
 
   /**
-   * How long after its start a replica repeats pre-votes at the short delay: several maximum
-   * election timeouts.
+   * The period after startup in which a replica repeats pre-votes at the short delay; several
+   * maximum election timeouts.
    */
   private static final long STARTUP_PERIOD_MS = 3_600;
 
@@ -35,8 +35,9 @@
   /**
    * Starts the timer.
    *
-   * @param processStartMs when the process started, or later. An earlier process acknowledged no
-   *     leader after this time, so the time since then counts toward the minimum election timeout
+   * @param processStartMs a time at or after the start of this process. An earlier process of this
+   *     replica cannot have acknowledged a leader after it, so votes are refused for the minimum
+   *     election timeout from this time on
    */
   ElectionTimer(RaftSettings settings, long seed, long processStartMs, long nowMs) {
     this.settings = settings;
@@ -75,8 +76,9 @@
   }
 
   /**
-   * Defers the campaign to another candidate that could win. The delay is far shorter than the time
-   * between two campaigns, so a candidate that never wins cannot keep others from campaigning.
+   * Defers the campaign in favor of another candidate that could win. The delay is far shorter than
+   * the time between two campaigns, so a candidate that never wins cannot keep others from
+   * campaigning.
    */
   void deferCampaign(long nowMs) {
     deadlineMs = Math.max(deadlineMs, nowMs + CAMPAIGN_DEFERRAL_MS);
@@ -97,7 +99,7 @@
     return nowMs < refuseVotesUntilMs;
   }
 
-  /** Whether no leader was heard from for longer than an election should take. */
+  /** Whether the replica has heard from no leader for longer than an election takes. */
   boolean isLeaderLost(long nowMs) {
     return nowMs >= refuseVotesUntilMs + settings.electionTimeoutMaxMs();
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/Elections.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Elections.java
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Requests votes. Unless it is a pre-vote, this starts a term in which the replica votes for
+   * Requests votes. A campaign other than a pre-vote starts a term in which the replica votes for
    * itself.
    *
    * @return whether its own vote is a quorum
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Responds to a vote request: grants it if this replica follows, has not voted for another
-   * candidate, and the candidate's log is up to date.
+   * Responds to a vote request. Grants the vote if this replica is a follower that may vote for the
+   * candidate, and the candidate's log is at least as up to date as its own.
    */
   void answerVote(VoteRequest request, boolean isFollower, long nowMs) {
     int candidate = request.header().from();
--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
@@ -11,14 +11,14 @@
 
 /**
  * The follower's side of replication: accepts entries and snapshots from the leader of the term and
- * acknowledges what is both verified against the leader's log and synced here.
+ * acknowledges the entries that match the leader's log and are synced on this replica.
  */
 final class FollowerLog {
   private final ReplicaState state;
   private int leaderId = RecoveredState.NO_REPLICA;
   private long leaderIncarnation;
 
-  /** The latest send time, on the leader's clock, among the messages of the current leader. */
+  /** The latest send time of a message from the current leader, on the leader's clock. */
   private long lastAppendSentAtMs;
 
   /** The index up to which the log is known to match the current leader's. */
@@ -44,7 +44,7 @@
     leaderIncarnation = incarnation;
   }
 
-  /** Resets what depends on the leader of the previous term. */
+  /** Discards the state that belongs to the leader of the previous term. */
   void onNewTerm() {
     verifiedIndex = 0;
     leaderIncarnation = 0;
@@ -63,7 +63,7 @@
     return taken;
   }
 
-  /** Acknowledges newly synced entries to the leader, if it is known. */
+  /** Acknowledges newly synced entries if the leader is known. */
   void onSynced() {
     if (leaderId >= 0 && leaderIncarnation != 0) {
       acknowledge(lastAppendSentAtMs);
@@ -148,7 +148,7 @@
     return appended;
   }
 
-  /** Tells the leader the index up to which its log is present and synced here. */
+  /** Acknowledges the entries that match the leader's log and are synced. */
   private void acknowledge(long sentAtMs) {
     long match = Math.min(state.syncedIndex, verifiedIndex);
     RaftHeader header = state.header(leaderId, leaderIncarnation);
--- a/consensus/src/main/java/io/pathdeck/consensus/HardState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/HardState.java
@@ -15,7 +15,10 @@
     this.votedFor = votedFor;
   }
 
-  /** Starts a term with a vote for {@code candidate}, or with {@link RecoveredState#NO_REPLICA}. */
+  /**
+   * Starts a term with a vote for {@code candidate}; {@link RecoveredState#NO_REPLICA} means no
+   * vote.
+   */
   void beginTerm(long term, int candidate) {
     state.term = term;
     voteFor(candidate);
@@ -27,7 +30,7 @@
     state.records.add(new HardStateRecord(state.group, state.term, candidate));
   }
 
-  /** Whether this replica has not voted for another candidate in the current term. */
+  /** Whether this replica's vote in the current term is unused or for {@code candidate}. */
   boolean canVoteFor(int candidate) {
     return votedFor == RecoveredState.NO_REPLICA || votedFor == candidate;
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
@@ -45,7 +45,8 @@
   }
 
   /**
-   * Announces the empty disk if that is due; returns whether the first configuration is now known.
+   * Announces the empty disk when an announcement is due; returns whether the first configuration
+   * is now known.
    */
   boolean poll(long nowMs) {
     if (nowMs < nextJoinMs) {
@@ -57,7 +58,7 @@
   }
 
   /**
-   * Asks for admission if that is due, for a follower that is not a member or may have been
+   * Asks for admission when a request is due; for a follower that is not a member or may have been
    * removed.
    */
   void askToJoin(long nowMs) {
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinSettings.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinSettings.java
@@ -5,8 +5,9 @@
 /**
  * How a replica forms or joins its group.
  *
- * @param founders the ids that form a new group together; empty when this replica only joins
- * @param contacts the ids that are asked for admission initially
+ * @param founders the ids of the replicas that form a new group together; empty when this replica
+ *     only joins a group
+ * @param contacts the ids of the replicas that this one asks first for admission
  * @param address the address at which other members reach this replica; empty when all addresses
  *     are configured
  */
--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a replica keeps track of while it leads: the progress of the members and join requests. */
+/** The state of a leader: the replication progress of each member and recent join requests. */
 final class LeaderState {
   /**
    * The maximum retransmission timeout; short enough that a member that was unreachable for long
@@ -81,10 +81,10 @@
    * Rewinds a member to {@link FollowerProgress#resendFromIndex} when entries sent to it were not
    * acknowledged within the retransmission timeout.
    *
-   * <p>This depends on indexes and not on the number of messages in flight, since an
-   * acknowledgement of earlier entries does not show that a later message arrived. The timeout
-   * doubles while there is no progress; otherwise a slow member would be sent the same entries
-   * repeatedly, which keeps a saturated link saturated.
+   * <p>This compares indexes instead of counting messages in flight, since an acknowledgement of
+   * earlier entries does not show that a later message arrived. The timeout doubles while there is
+   * no progress; otherwise a slow member would be sent the same entries repeatedly, which keeps a
+   * saturated link saturated.
    */
   void rewindIfStalled(FollowerProgress follower, long nowMs) {
     boolean stalled =
@@ -248,7 +248,8 @@
   }
 
   /**
-   * The voter with the highest match index among those that respond and were sent the whole log.
+   * The voter with the highest match index among the responsive ones that were sent the last log
+   * entry, whether they acknowledged it or not.
    */
   Optional<Member> transferTarget(GroupConfiguration current, long lastIndex, long nowMs) {
     return current.members().stream()
--- a/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Leadership.java
@@ -24,7 +24,7 @@
   /** Acknowledgements of messages sent up to this time do not renew the lease. */
   private long leaseInvalidatedAtMs = Long.MIN_VALUE;
 
-  /** Not null if and only if this replica leads. */
+  /** Null while this replica does not lead. */
   private Replicator replicator;
 
   Leadership(ReplicaState state, MembershipPolicy policy) {
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Starts a term as leader. An empty entry is appended, since entries of earlier terms are
-   * committed only together with one of the current term.
+   * Starts a term as leader. Appends an empty entry, since a leader commits entries of earlier
+   * terms only together with one of its own term.
    */
   void begin(long nowMs) {
     replicator = new Replicator(state, policy, nowMs);
@@ -79,8 +79,8 @@
   }
 
   /**
-   * The index that a linearizable read must have applied; empty while the lease is not valid or no
-   * entry of the current term is committed.
+   * The index that must be applied before a linearizable read is answered; empty while the lease is
+   * invalid or no entry of the current term is committed.
    */
   OptionalLong readIndex(long nowMs) {
     boolean ownTermCommitted = state.log.term(state.commitIndex) == state.term;
@@ -101,8 +101,8 @@
   }
 
   /**
-   * What to do when a heartbeat is due. A leader that is leaving or has lost its quorum gives up
-   * leadership.
+   * The action to take when a heartbeat is due. A leader that is leaving or has lost its quorum
+   * gives up leadership.
    */
   LeaderAction nextAction(long nowMs) {
     boolean enoughRemain = state.log.configuration().voterCount() > policy.minVoters();
--- a/consensus/src/main/java/io/pathdeck/consensus/MembershipPolicy.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/MembershipPolicy.java
@@ -4,7 +4,7 @@
  * Rules for admitting and removing members of a group.
  *
  * @param open whether a replica outside the configuration is admitted on request
- * @param minVoters a voter is removed only while there are more than this many
+ * @param minVoters the minimum number of voters; a removal must not go below it
  * @param maxSilenceMs how long a member may be silent before it can be removed
  */
 public record MembershipPolicy(boolean open, int minVoters, long maxSilenceMs) {
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
@@ -15,7 +15,10 @@
   private long snapshotTerm;
   private long sizeBytes;
 
-  /** Starts the log after a snapshot (or, with index 0, at its beginning). */
+  /**
+   * Empties the log and starts it after the snapshot at {@code index}, or at its beginning for
+   * index 0.
+   */
   void reset(long index, long term, GroupConfiguration configuration) {
     entries.clear();
     configurations.clear();
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
@@ -46,7 +46,8 @@
   /**
    * Restores a replica from its recovered state.
    *
-   * @param processStartMs when the process started, on the clock of {@code nowMs}
+   * @param processStartMs a time at or after the start of this process, on the clock of {@code
+   *     nowMs}
    */
   public RaftReplica(
       int group,
@@ -123,7 +124,7 @@
     return leadership.matchIndex(memberId);
   }
 
-  /** What this replica has sent as leader. */
+  /** The bytes of log entries that this replica has sent as leader. */
   public ReplicationStatistics statistics() {
     return state.statistics;
   }
@@ -156,7 +157,8 @@
    * Steps down and tells the most up-to-date voter to campaign immediately.
    *
    * <p>The leader steps down before the message is sent, so it no longer serves reads under its
-   * lease. Uncommitted entries were sent to the successor earlier, over the same connection.
+   * lease. The successor has been sent all uncommitted entries before that message, over the same
+   * connection.
    *
    * @return whether a successor was found; otherwise nothing changes
    */
@@ -213,8 +215,8 @@
   }
 
   /**
-   * Invalidates the leader's lease. To be called when more time may have passed than the clock
-   * shows, as after a suspension of the machine.
+   * Invalidates the leader's lease. The caller does so when more time may have passed than the
+   * clock shows, for example after a suspension of the machine.
    */
   public void invalidateLease(long nowMs) {
     leadership.invalidateLease(nowMs);
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftSettings.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftSettings.java
@@ -8,7 +8,7 @@
  * @param electionTimeoutMaxMs the maximum election timeout
  * @param heartbeatMs the interval of heartbeats
  * @param leaseMs how long a leader may answer reads after it sent a message that a quorum
- *     acknowledged; shorter than {@code electionTimeoutMinMs} by more than clocks drift in that
+ *     acknowledged; shorter than {@code electionTimeoutMinMs} by more than the clock drift in that
  *     time
  * @param retransmitMs the initial time to wait for an acknowledgement before sending again
  * @param maxAppendBytes the maximum bytes of entries in one message
@@ -23,9 +23,9 @@
     int maxAppendBytes,
     int maxInFlightAppends) {
   /**
-   * The settings shared by production and simulation. Four messages of 128 KB exceed what a link of
-   * 1 Gbit/s carries in a round trip of 3 ms between zones. Sent to five members at once, they take
-   * about 170 ms on a link of 120 Mbit/s, so that a heartbeat behind them still arrives in time.
+   * The settings shared by production and simulation. Enough messages may be in flight to use the
+   * full rate of a link between zones, yet few enough that a heartbeat queued behind them arrives
+   * in time on a slower link.
    */
   public static final RaftSettings DEFAULT =
       new RaftSettings(600, 1_200, 100, 450, 400, 128 << 10, 4);
--- a/consensus/src/main/java/io/pathdeck/consensus/Ready.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Ready.java
@@ -20,7 +20,7 @@
     Optional<SnapshotInstall> install,
     List<SnapshotRequest> snapshotRequests) {
 
-  /** Whether records must be made durable or messages wait for that. */
+  /** Whether there are records to sync or messages that wait for a sync. */
   public boolean needsSync() {
     return !records.isEmpty() || !messagesAfterSync.isEmpty();
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/ReplicationStatistics.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ReplicationStatistics.java
@@ -1,10 +1,10 @@
 package io.pathdeck.consensus;
 
 /**
- * The bytes that a replica has sent as leader since its process started.
+ * The bytes of log entries that a replica has sent as leader since its process started.
  *
- * @param entryBytesSent the bytes of entries sent to members, each copy counted
- * @param entryBytesResent the part of them that had been sent to the same member before
+ * @param entryBytesSent the bytes of entries sent to all members, including resent ones
+ * @param entryBytesResent the bytes of entries sent to the same member again
  */
 public record ReplicationStatistics(long entryBytesSent, long entryBytesResent) {
   /** No bytes sent. */
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -46,7 +46,8 @@
   }
 
   /**
-   * The voter to transfer leadership to; empty while no responsive voter was sent the whole log.
+   * The voter to transfer leadership to; empty when there is none. It is responsive and was sent
+   * the last log entry, but may not have acknowledged it.
    */
   Optional<Member> transferTarget(long nowMs) {
     return leaderState.transferTarget(state.log.configuration(), state.log.lastIndex(), nowMs);
@@ -186,7 +187,7 @@
   }
 
   /**
-   * Records the acknowledged send time and returns the member's progress; null when the
+   * Records the send time of the answered message and returns the sender's progress; null when the
    * configuration does not contain the sender's incarnation.
    */
   private FollowerProgress recordResponse(RaftHeader header, long sentAtMs) {
--- a/consensus/src/main/java/io/pathdeck/consensus/SnapshotRequest.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/SnapshotRequest.java
@@ -2,5 +2,5 @@
 
 import io.pathdeck.protocol.raft.Member;
 
-/** A request to read the chunk of the newest snapshot at {@code offset} and send it to a member. */
+/** A request to send a member the chunk at {@code offset} of the newest snapshot. */
 public record SnapshotRequest(Member member, long offset) {}
--- a/consensus/src/main/java/io/pathdeck/consensus/VoteMessages.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/VoteMessages.java
@@ -51,7 +51,7 @@
     state.messagesAfterSync.add(new VoteResponse(header, request.preVote(), granted));
   }
 
-  /** Whether the candidate's log is at least as up to date as this one. */
+  /** Whether the candidate's log is at least as up to date as this replica's. */
   boolean isUpToDate(VoteRequest request) {
     boolean sameTerm = request.lastTerm() == state.log.lastTerm();
     return request.lastTerm() > state.log.lastTerm()
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/DataFolder.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/DataFolder.java
@@ -14,7 +14,7 @@
 
 /**
  * The folder with the durable state of a process, and its incarnation: a random number stored in
- * the folder when it is created, which distinguishes a recreated folder from the one that was lost.
+ * the folder when it is created, which distinguishes it from an earlier folder that was lost.
  */
 public final class DataFolder {
   private static final String IDENTITY_FILE = "incarnation";
@@ -73,8 +73,7 @@
   }
 
   /**
-   * Writes a file durably and atomically: after a crash it has its old content, if any, or all of
-   * the new.
+   * Writes a file durably and atomically: after a crash the file is either unchanged or complete.
    */
   static void writeDurably(Path target, byte[] content) throws IOException {
     Path temporary = target.resolveSibling(target.getFileName() + ".tmp");
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
@@ -117,7 +117,7 @@
     }
   }
 
-  /** The length of the newest snapshot's file in bytes, 0 when there is none. */
+  /** The length in bytes of the newest snapshot's file; 0 when there is none. */
   public long newestLength(int group) throws IOException {
     Optional<Path> file = newestFile(group);
     return file.isEmpty() ? 0 : Files.size(file.get());
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/StorageError.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/StorageError.java
@@ -1,6 +1,6 @@
 package io.pathdeck.consensus.storage;
 
-/** Why the data folder cannot be used. */
+/** An error of the data folder. */
 public sealed interface StorageError {
 
   /** An I/O operation failed. */
--- a/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
@@ -28,7 +28,7 @@
   private final Map<Integer, Long> commitIndexes = new HashMap<>();
   private final Set<Integer> isolatedIds = new HashSet<>();
 
-  /** By how much the clock of each replica is behind because of suspensions. */
+  /** The total duration of the suspensions of each replica, by which its clock is behind. */
   private final Map<Integer, Long> suspendedMs = new HashMap<>();
 
   private final Set<Integer> suspendedIds = new HashSet<>();
--- a/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Replicas connected by a {@link RateLimitedNetwork}, with disks that take time to sync. */
+/** Replicas with a constant sync time, connected by a {@link RateLimitedNetwork}. */
 final class RateLimitedGroup {
   private static final int GROUP = 1;
   private static final long STEP_MS = 1;
@@ -146,7 +146,7 @@
     return proposedBytes;
   }
 
-  /** How often a replica has become leader. */
+  /** The number of times that any replica became leader. */
   int electionCount() {
     return electionCount;
   }
--- a/consensus/src/test/java/io/pathdeck/consensus/TestOpenMembership.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestOpenMembership.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Groups that form from seeds and admit and remove members. */
+/** Groups that founders form, and that admit and remove members. */
 class TestOpenMembership {
   private static final Set<Integer> FOUNDERS = Set.of(1, 2, 3);
   private static final Set<Integer> NO_FOUNDERS = Set.of();
--- a/state/src/main/java/io/pathdeck/state/BatchJob.java
+++ b/state/src/main/java/io/pathdeck/state/BatchJob.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A batch job: its open items, and its results in the order in which they were added. */
+/**
+ * A job of a {@link BatchStateMachine}: its items are part of the submission, and their progress is
+ * recorded until each has a result.
+ */
 public final class BatchJob {
   private final SubmitBatch submission;
   private final long submittedAtMs;
@@ -39,7 +42,7 @@
     return job;
   }
 
-  /** Whether {@code tenant} may access the job; an empty tenant on either side matches any. */
+  /** Whether {@code tenant} may access the job; always true if it or the job's tenant is empty. */
   boolean belongsTo(String tenant) {
     String owner = submission.tenant();
     return owner.isEmpty() || tenant.isEmpty() || owner.equals(tenant);
--- a/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/BatchStateMachine.java
@@ -38,7 +38,7 @@
 /**
  * The state of a batch group: jobs with their items and results.
  *
- * <p>An item has at most one result, at a fixed position, as long as its job is kept; further
+ * <p>While its job is kept, an item has at most one result, whose position does not change; further
  * outcomes are ignored. Commands are idempotent by the job's id, so their results need not be
  * stored for resends.
  */
--- a/state/src/main/java/io/pathdeck/state/DeclarationStore.java
+++ b/state/src/main/java/io/pathdeck/state/DeclarationStore.java
@@ -35,7 +35,7 @@
     return digest;
   }
 
-  /** Applies {@code delta} as {@code newVersion}. */
+  /** Applies {@code delta} and sets the version. */
   public void apply(DeclarationDelta delta, long newVersion) {
     delta.removedTenants().forEach(name -> remove(tenants, name));
     delta.removedServices().forEach(name -> remove(services, name));
--- a/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
@@ -34,13 +34,13 @@
 
 /**
  * The state of a fleet's configuration group: the route table with the highest version, the
- * founding members of the groups that keep batch jobs, the stores that are being drained, and the
+ * founding members of the groups that keep batch jobs, the stores that are leaving, and the
  * requests that must not reach engines.
  *
  * <p>Every command is idempotent, so results need not be stored for resends.
  */
 public final class FleetStateMachine implements StateMachine {
-  /** Limits the list to about 32 KB, at about 60 bytes per request; the oldest are evicted. */
+  /** Limits the quarantine list, which is sent whole after a change; the oldest are evicted. */
   private static final int MAX_QUARANTINED = 512;
 
   private final LogClock clock = new LogClock();
@@ -60,7 +60,7 @@
     return jobsFounders;
   }
 
-  /** The stores that are being drained. */
+  /** The stores that are leaving. */
   public List<SetStoreLeaving> leavingStores() {
     return List.copyOf(leavingStores.values());
   }
--- a/state/src/main/java/io/pathdeck/state/IdempotencyKeyTable.java
+++ b/state/src/main/java/io/pathdeck/state/IdempotencyKeyTable.java
@@ -12,7 +12,7 @@
 
 /** Idempotency keys of submissions and the values they are bound to. */
 final class IdempotencyKeyTable {
-  /** How long a key stays bound, in log time; as long as jobs are kept. */
+  /** How long a key stays bound, in log time; the same as for jobs. */
   static final long RETENTION_MS = JobsStateMachine.RETENTION_MS;
 
   private record Key(String tenant, String key) {}
--- a/state/src/main/java/io/pathdeck/state/ItemProgress.java
+++ b/state/src/main/java/io/pathdeck/state/ItemProgress.java
@@ -2,7 +2,7 @@
 
 import io.pathdeck.protocol.fleet.BatchProgress;
 
-/** The recorded events of an open item. */
+/** The recorded beginning of an open item's response stream, which consists of events. */
 public final class ItemProgress {
   /** No recorded events. */
   public static final ItemProgress NONE = new ItemProgress(BatchProgress.NO_EVENT, "");
@@ -15,7 +15,7 @@
     this.text = text;
   }
 
-  /** The last recorded event; -1 when there is none. */
+  /** The number of the last recorded event; -1 when there is none. */
   public long lastEvent() {
     return lastEvent;
   }
@@ -30,7 +30,7 @@
     return new ItemProgress(newLastEvent, join(text, moreText));
   }
 
-  /** Joins the data of events with that of the events that follow them. */
+  /** Joins the data of two successive runs of events. */
   public static String join(String text, String moreText) {
     if (text.isEmpty() || moreText.isEmpty()) {
       return text + moreText;
--- a/state/src/main/java/io/pathdeck/state/Job.java
+++ b/state/src/main/java/io/pathdeck/state/Job.java
@@ -5,7 +5,10 @@
 import io.pathdeck.protocol.model.JobView;
 import java.util.BitSet;
 
-/** A batch job: its items, which of them are waiting, and their results. */
+/**
+ * A job of a {@link JobsStateMachine}: its items are the lines of an uploaded file and are leased
+ * to dispatchers.
+ */
 final class Job {
   private final JobSpec spec;
   private final StoredFile file;
--- a/state/src/main/java/io/pathdeck/state/JobQueues.java
+++ b/state/src/main/java/io/pathdeck/state/JobQueues.java
@@ -60,7 +60,10 @@
     return null;
   }
 
-  /** Moves the first job with waiting items to the head and removes jobs that have ended. */
+  /**
+   * Removes jobs that have ended and rotates the queue until its head has waiting items. Returns
+   * the head, or null when no job has waiting items.
+   */
   private static Job rotateToWaitingJob(ArrayDeque<Job> jobs) {
     jobs.removeIf(job -> job.status().isTerminal());
     for (int i = 0; i < jobs.size(); i++) {
--- a/state/src/main/java/io/pathdeck/state/LeaseTable.java
+++ b/state/src/main/java/io/pathdeck/state/LeaseTable.java
@@ -73,7 +73,7 @@
     return expired;
   }
 
-  /** Removes the items of a job from all leases; returns their number. */
+  /** Removes the items of a job from all leases; returns how many were removed. */
   int removeJob(String jobId) {
     int removed = 0;
     Iterator<Lease> iterator = leases.values().iterator();
--- a/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
@@ -38,7 +38,7 @@
   private final DeclarationStore store = new DeclarationStore();
   private final TreeMap<Long, DeclarationDelta> deltas = new TreeMap<>();
 
-  /** The declaration with its version and digest; to be read on the state machine's thread. */
+  /** The declaration with its version and digest; confined to the state machine's thread. */
   public DeclarationStore store() {
     return store;
   }
@@ -117,7 +117,7 @@
     }
   }
 
-  /** The delta that follows {@code version}, if it is still kept. */
+  /** The delta from {@code version} to the next; empty when it is no longer kept. */
   public Optional<DeclarationDelta> deltaAfter(long version) {
     return Optional.ofNullable(deltas.get(version + 1));
   }
--- a/state/src/main/java/io/pathdeck/state/StateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/StateMachine.java
@@ -9,17 +9,18 @@
 /**
  * A deterministic state machine driven by a replicated log.
  *
- * <p>Its only clock is the highest proposal time it has applied, so that all replicas agree on what
- * has expired. It is confined to one thread; captured snapshots may be read by another.
+ * <p>Its only clock is the highest proposal time of the applied commands, so that state expires at
+ * the same log position on all replicas. It is confined to one thread; captured snapshots may be
+ * read by another.
  */
 public interface StateMachine {
-  /** The highest proposal time applied, snapshots included. */
+  /** The highest proposal time of the applied commands, including those in a restored snapshot. */
   long logTimeMs();
 
   /** Applies a committed command. */
   CommandResult apply(CommandEnvelope envelope);
 
-  /** Whether state will expire, so that time must advance even without other commands. */
+  /** Whether some state expires, so that time must advance even without other commands. */
   boolean needsTimeAdvance();
 
   /** Answers a read from the applied state. */
@@ -28,6 +29,6 @@
   /** Captures the state quickly; the returned records are unaffected by later commands. */
   Iterator<Object> captureSnapshot();
 
-  /** Replaces the state by snapshot records. */
+  /** Replaces the state with the records of a snapshot. */
   void restoreSnapshot(Iterator<Object> records);
 }
--- a/state/src/main/java/io/pathdeck/state/StoredFile.java
+++ b/state/src/main/java/io/pathdeck/state/StoredFile.java
@@ -49,7 +49,9 @@
     return lineCount;
   }
 
-  /** Adds the next chunk; a chunk that is already present is ignored. Returns false on a gap. */
+  /**
+   * Adds the next chunk, or ignores a duplicate; returns false when an earlier chunk is missing.
+   */
   boolean append(int chunkIndex, List<byte[]> chunk) {
     if (chunkIndex < chunks.size()) {
       return true;
--- a/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
@@ -36,7 +36,7 @@
 
   private BatchStateMachine machine;
 
-  /** A leader, its progress and its proposals that are neither applied nor lost. */
+  /** A leader with its progress and its pending proposals. */
   private final class Leader {
     private final Deque<Command> proposals = new ArrayDeque<>();
     private long recordedEvent;
--- a/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
+++ b/state/src/test/java/io/pathdeck/state/TestJobsStateMachine.java
@@ -104,7 +104,7 @@
     return records;
   }
 
-  /** Guards against a restored replica that leases other items than one that never stopped. */
+  /** A replica restored from a snapshot leases the same items as the original. */
   @Property(tries = 150, seed = "21")
   void restoredReplicaMatchesOriginal(
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed,
