--- a/consensus/src/main/java/io/pathdeck/consensus/Elections.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Elections.java
@@ -9,7 +9,7 @@
   private final ElectionTimer timer;
   private final VoteMessages messages;
   private final HardState hardState;
-  private VoteTally votes;
+  private VoteTally tally;
 
   Elections(ReplicaState state, ElectionTimer timer, int votedFor) {
     this.state = state;
@@ -25,7 +25,7 @@
 
   /** Discards the votes of a finished campaign. */
   void endCampaign() {
-    votes = null;
+    tally = null;
   }
 
   /**
@@ -41,9 +41,9 @@
       hardState.beginTerm(state.term + 1, state.id);
       timer.reset(nowMs);
     }
-    votes = new VoteTally(state.log.configuration());
-    votes.add(state.id, state.incarnation);
-    if (votes.isWon()) {
+    tally = new VoteTally(state.log.configuration());
+    tally.add(state.id, state.incarnation);
+    if (tally.isWon()) {
       return true;
     }
     messages.requestVotes(campaign);
@@ -52,8 +52,8 @@
 
   /** Counts a vote and returns whether the campaign is won. */
   boolean onVoteGranted(RaftHeader header) {
-    votes.add(header.from(), header.fromIncarnation());
-    return votes.isWon();
+    tally.add(header.from(), header.fromIncarnation());
+    return tally.isWon();
   }
 
   /**
--- a/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/FollowerLog.java
@@ -119,11 +119,12 @@
   }
 
   private boolean matchesPrevious(AppendRequest request) {
-    long previous = request.previousIndex();
-    if (previous <= state.commitIndex) {
+    long previousIndex = request.previousIndex();
+    if (previousIndex <= state.commitIndex) {
       return true;
     }
-    return previous <= state.log.lastIndex() && state.log.term(previous) == request.previousTerm();
+    return previousIndex <= state.log.lastIndex()
+        && state.log.term(previousIndex) == request.previousTerm();
   }
 
   private boolean appendFromLeader(List<LogEntry> entries) {
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
@@ -111,8 +111,8 @@
   }
 
   private boolean tryBootstrap() {
-    boolean founder = settings.founders().contains(state.id);
-    if (!founder || !emptyReplicas.containsAll(settings.founders())) {
+    boolean isFounder = settings.founders().contains(state.id);
+    if (!isFounder || !emptyReplicas.containsAll(settings.founders())) {
       return false;
     }
     adopt(emptyReplicas.configuration(settings.founders()));
--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -173,16 +173,17 @@
       if (!member.voter()) {
         continue;
       }
-      boolean self = member.id() == selfId && member.incarnation() == selfIncarnation;
-      values.add(self ? selfValue : value.applyAsLong(progress.get(member.id())));
+      boolean isSelf = member.id() == selfId && member.incarnation() == selfIncarnation;
+      values.add(isSelf ? selfValue : value.applyAsLong(progress.get(member.id())));
     }
     values.sort(Collections.reverseOrder());
     return values.get(current.quorum() - 1);
   }
 
   void onJoinRequest(JoinRequest join, long nowMs) {
-    RaftHeader from = join.header();
-    joinAttempts.put(from.from(), new JoinAttempt(from.fromIncarnation(), join.address(), nowMs));
+    RaftHeader header = join.header();
+    joinAttempts.put(
+        header.from(), new JoinAttempt(header.fromIncarnation(), join.address(), nowMs));
   }
 
   void setLeaving(Set<Integer> ids) {
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -80,10 +80,10 @@
   }
 
   private void changeMembershipIfNeeded(long nowMs) {
-    boolean pending =
+    boolean changePending =
         state.log.configurationIndex() > state.commitIndex
             || state.log.term(state.commitIndex) != state.term;
-    if (pending) {
+    if (changePending) {
       return;
     }
     leaderState
@@ -130,14 +130,14 @@
   }
 
   private void countSentBytes(FollowerProgress progress, List<LogEntry> entries) {
-    long sent = 0;
-    long resent = 0;
+    long sentBytes = 0;
+    long resentBytes = 0;
     for (LogEntry entry : entries) {
-      sent += entry.sizeBytes();
-      resent += entry.index() <= progress.highestSentIndex ? entry.sizeBytes() : 0;
+      sentBytes += entry.sizeBytes();
+      resentBytes += entry.index() <= progress.highestSentIndex ? entry.sizeBytes() : 0;
       progress.highestSentIndex = Math.max(progress.highestSentIndex, entry.index());
     }
-    state.statistics = state.statistics.plus(sent, resent);
+    state.statistics = state.statistics.plus(sentBytes, resentBytes);
   }
 
   private void requestSnapshot(Member member, FollowerProgress progress, long nowMs) {
@@ -160,8 +160,8 @@
         continue;
       }
       leaderState.rewindIfStalled(progress, nowMs);
-      long previous = Math.max(lastCommonIndex(progress), state.log.snapshotIndex());
-      sendAppend(member, previous, List.of(), nowMs);
+      long previousIndex = Math.max(lastCommonIndex(progress), state.log.snapshotIndex());
+      sendAppend(member, previousIndex, List.of(), nowMs);
       replicateTo(member, nowMs);
     }
   }
@@ -175,12 +175,12 @@
     return progress.matchIndex > 0 ? progress.matchIndex : progress.nextIndex - 1;
   }
 
-  private void sendAppend(Member member, long previous, List<LogEntry> entries, long nowMs) {
+  private void sendAppend(Member member, long previousIndex, List<LogEntry> entries, long nowMs) {
     state.messages.add(
         new AppendRequest(
             state.header(member.id(), member.incarnation()),
-            previous,
-            state.log.term(previous),
+            previousIndex,
+            state.log.term(previousIndex),
             entries,
             state.commitIndex,
             nowMs));
@@ -243,9 +243,9 @@
   }
 
   void advanceCommit() {
-    long candidate = leaderState.quorumMatchIndex(state.log.configuration(), state.syncedIndex);
-    if (candidate > state.commitIndex && state.log.term(candidate) == state.term) {
-      state.commitIndex = candidate;
+    long quorumIndex = leaderState.quorumMatchIndex(state.log.configuration(), state.syncedIndex);
+    if (quorumIndex > state.commitIndex && state.log.term(quorumIndex) == state.term) {
+      state.commitIndex = quorumIndex;
     }
   }
 }
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
@@ -105,12 +105,12 @@
           newestFile(group).orElseThrow(() -> new IOException("no snapshot of group " + group));
       try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
         long remaining = Math.max(0, channel.size() - offset);
-        ByteBuffer part = ByteBuffer.allocate((int) Math.min(maxLength, remaining));
+        ByteBuffer chunk = ByteBuffer.allocate((int) Math.min(maxLength, remaining));
         int read = 0;
-        while (part.hasRemaining() && read >= 0) {
-          read = channel.read(part, offset + part.position());
+        while (chunk.hasRemaining() && read >= 0) {
+          read = channel.read(chunk, offset + chunk.position());
         }
-        return Result.ok(part.array());
+        return Result.ok(chunk.array());
       }
     } catch (IOException e) {
       return Result.err(new StorageError.Io("read snapshot of group " + group, e.toString()));
--- a/consensus/src/test/java/io/pathdeck/consensus/TestElectionTimer.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestElectionTimer.java
@@ -35,11 +35,11 @@
     Set<Long> firstCampaigns = new HashSet<>();
     for (int seed = 0; seed < 10; seed++) {
       ElectionTimer timer = new ElectionTimer(SETTINGS, seed, START_MS, nowMs);
-      long atMs = nowMs;
-      while (!timer.isExpired(atMs)) {
-        atMs++;
+      long campaignMs = nowMs;
+      while (!timer.isExpired(campaignMs)) {
+        campaignMs++;
       }
-      firstCampaigns.add(atMs);
+      firstCampaigns.add(campaignMs);
     }
     assertThat(firstCampaigns).hasSizeGreaterThan(7);
   }
--- a/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/storage/TestSegmentedLog.java
@@ -66,10 +66,10 @@
   void truncatesTornTail() throws IOException {
     Path segment = writeLog();
     byte[] content = Files.readAllBytes(segment);
-    for (int cut = 1; cut < 40; cut += 3) {
-      Files.write(segment, Arrays.copyOf(content, content.length - cut));
+    for (int removedBytes = 1; removedBytes < 40; removedBytes += 3) {
+      Files.write(segment, Arrays.copyOf(content, content.length - removedBytes));
       deleteOtherSegments(segment);
-      assertThat(recover()).as("truncated by %d bytes", cut).hasSize(2 * (BATCHES - 1));
+      assertThat(recover()).as("truncated by %d bytes", removedBytes).hasSize(2 * (BATCHES - 1));
     }
   }
 
@@ -100,9 +100,9 @@
     Path segment = folder.resolve("log-000000000001");
     for (int run = 0; run < 200; run++) {
       deleteOtherSegments(segment);
-      byte[] noise = new byte[random.nextInt(300)];
-      random.nextBytes(noise);
-      Files.write(segment, noise);
+      byte[] randomBytes = new byte[random.nextInt(300)];
+      random.nextBytes(randomBytes);
+      Files.write(segment, randomBytes);
       Result<SegmentedLog, StorageError> opened = SegmentedLog.open(folder, record -> {});
       assertThat(opened.isOk() || opened.error() instanceof StorageError.Damaged).isTrue();
     }
--- a/state/src/main/java/io/pathdeck/state/JobsQueries.java
+++ b/state/src/main/java/io/pathdeck/state/JobsQueries.java
@@ -32,14 +32,14 @@
   QueryResult answer(Query query) {
     if (query instanceof ReadJob read) {
       Job job = visibleJob(read.jobId(), read.tenant());
-      return job == null ? noJob(read.jobId()) : new JobResult(job.view());
+      return job == null ? jobNotFound(read.jobId()) : new JobResult(job.view());
     }
-    if (query instanceof ListJobs list) {
-      return listJobs(list);
+    if (query instanceof ListJobs listQuery) {
+      return listJobs(listQuery);
     }
     if (query instanceof ReadFile read) {
       StoredFile file = visibleFile(read.fileId(), read.tenant());
-      return file == null ? noFile(read.fileId()) : new FileResult(file.view());
+      return file == null ? fileNotFound(read.fileId()) : new FileResult(file.view());
     }
     if (query instanceof ReadFileLines read) {
       return readFileLines(read);
@@ -64,28 +64,28 @@
     return file != null && file.belongsTo(tenant) ? file : null;
   }
 
-  private static NotFound noJob(String jobId) {
+  private static NotFound jobNotFound(String jobId) {
     return new NotFound("no batch " + jobId);
   }
 
-  private static NotFound noFile(String fileId) {
+  private static NotFound fileNotFound(String fileId) {
     return new NotFound("no file " + fileId);
   }
 
-  private QueryResult listJobs(ListJobs list) {
-    List<Job> all = new ArrayList<>(state.jobs.values());
+  private QueryResult listJobs(ListJobs query) {
+    List<Job> allJobs = new ArrayList<>(state.jobs.values());
     List<JobView> page = new ArrayList<>();
-    boolean started = list.afterJobId().isEmpty();
-    for (int i = all.size() - 1; i >= 0; i--) {
-      Job job = all.get(i);
-      boolean visible = list.tenant().isEmpty() || list.tenant().equals(job.spec().tenant());
-      if (started && visible) {
-        if (page.size() == list.limit()) {
+    boolean pageStarted = query.afterJobId().isEmpty();
+    for (int i = allJobs.size() - 1; i >= 0; i--) {
+      Job job = allJobs.get(i);
+      boolean visible = query.tenant().isEmpty() || query.tenant().equals(job.spec().tenant());
+      if (pageStarted && visible) {
+        if (page.size() == query.limit()) {
           return new JobListResult(page, true);
         }
         page.add(job.view());
       }
-      started = started || job.spec().jobId().equals(list.afterJobId());
+      pageStarted = pageStarted || job.spec().jobId().equals(query.afterJobId());
     }
     return new JobListResult(page, false);
   }
@@ -93,7 +93,7 @@
   private QueryResult readFileLines(ReadFileLines read) {
     StoredFile file = visibleFile(read.fileId(), read.tenant());
     if (file == null) {
-      return noFile(read.fileId());
+      return fileNotFound(read.fileId());
     }
     List<byte[]> lines = new ArrayList<>();
     long bytes = 0;
@@ -109,7 +109,7 @@
   private QueryResult readResults(ReadResults read) {
     Job job = visibleJob(read.jobId(), read.tenant());
     if (job == null) {
-      return noJob(read.jobId());
+      return jobNotFound(read.jobId());
     }
     List<byte[]> lines = new ArrayList<>();
     long bytes = 0;
--- a/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
@@ -111,12 +111,12 @@
     List<Leader> leaders = List.of(new Leader(), new Leader());
     leaders.forEach(Leader::resume);
     for (int action : actions) {
-      act(leaders.get(action / ACTIONS_PER_LEADER), action % ACTIONS_PER_LEADER);
+      perform(leaders.get(action / ACTIONS_PER_LEADER), action % ACTIONS_PER_LEADER);
     }
     ItemProgress progress = machine.job(JOB).orElseThrow().progress(ITEM);
     assertThat(progress.text()).isEqualTo(text(-1, progress.lastEvent()));
-    String complete = text(-1, LAST_EVENT);
-    assertThat(results()).allSatisfy(result -> assertThat(result.text()).isEqualTo(complete));
+    String completeText = text(-1, LAST_EVENT);
+    assertThat(results()).allSatisfy(result -> assertThat(result.text()).isEqualTo(completeText));
     assertThat(results()).hasSizeLessThan(2);
   }
 
@@ -126,7 +126,7 @@
     submit();
     Leader leader = new Leader();
     leader.resume();
-    actions.forEach(action -> act(leader, action));
+    actions.forEach(action -> perform(leader, action));
     if (results().isEmpty()) {
       leader.loseProposals();
       for (long event = 0; event <= LAST_EVENT; event++) {
@@ -138,7 +138,7 @@
     assertThat(results()).containsExactly(new BatchResult(ITEM, true, text(-1, LAST_EVENT)));
   }
 
-  private static void act(Leader leader, int action) {
+  private static void perform(Leader leader, int action) {
     switch (action) {
       case 0 -> leader.resume();
       case 1 -> leader.receive();
