--- a/consensus/src/main/java/io/pathdeck/consensus/Elections.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Elections.java
@@ -9,7 +9,7 @@
   private final ElectionTimer timer;
   private final VoteMessages messages;
   private final HardState hardState;
-  private VoteTally votes;
+  private VoteTally tally;
 
   Elections(ReplicaState state, ElectionTimer timer, int votedFor) {
     this.state = state;
@@ -25,11 +25,11 @@
 
   /** Discards the votes of a finished campaign. */
   void endCampaign() {
-    votes = null;
+    tally = null;
   }
 
   /**
-   * Requests votes. Unless it is a pre-vote, this starts a term in which the replica votes for
+   * Requests votes. A campaign other than a pre-vote starts a term in which the replica votes for
    * itself.
    *
    * @return whether its own vote is a quorum
@@ -41,9 +41,9 @@
       hardState.beginTerm(state.term + 1, state.id);
       timer.reset(nowMs);
     }
-    votes = new VoteTally(state.log.configuration());
-    votes.add(state.id, state.incarnation);
-    if (votes.isWon()) {
+    tally = new VoteTally(state.log.configuration());
+    tally.add(state.id, state.incarnation);
+    if (tally.isWon()) {
       return true;
     }
     messages.requestVotes(campaign);
@@ -52,8 +52,8 @@
 
   /** Counts a vote and returns whether the campaign is won. */
   boolean onVoteGranted(RaftHeader header) {
-    votes.add(header.from(), header.fromIncarnation());
-    return votes.isWon();
+    tally.add(header.from(), header.fromIncarnation());
+    return tally.isWon();
   }
 
   /**
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Responds to a vote request: grants it if this replica follows, has not voted for another
-   * candidate, and the candidate's log is up to date.
+   * Responds to a vote request. Grants the vote if this replica is a follower that may vote for the
+   * candidate, and the candidate's log is at least as up to date as its own.
    */
   void answerVote(VoteRequest request, boolean isFollower, long nowMs) {
     int candidate = request.header().from();
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
@@ -23,7 +23,7 @@
   private final ReplicaState state;
   private final JoinSettings settings;
   private final Set<Integer> contacts;
-  private final JoinTracker joins = new JoinTracker();
+  private final JoinTracker emptyReplicas = new JoinTracker();
   private GroupConfiguration bootstrap;
   private long nextJoinMs;
 
@@ -45,19 +45,20 @@
   }
 
   /**
-   * Announces the empty disk if that is due; returns whether the first configuration is now known.
+   * Announces the empty disk when an announcement is due; returns whether the first configuration
+   * is now known.
    */
   boolean poll(long nowMs) {
     if (nowMs < nextJoinMs) {
       return false;
     }
-    joins.add(state.id, state.incarnation, settings.address());
+    emptyReplicas.add(state.id, state.incarnation, settings.address());
     sendJoinRequests(false, nowMs);
     return tryBootstrap();
   }
 
   /**
-   * Asks for admission if that is due, for a follower that is not a member or may have been
+   * Asks for admission when a request is due; for a follower that is not a member or may have been
    * removed.
    */
   void askToJoin(long nowMs) {
@@ -91,7 +92,7 @@
    */
   boolean onJoinRequestWhileJoining(JoinRequest join) {
     if (!join.bootstrapped()) {
-      joins.add(join.header().from(), join.header().fromIncarnation(), join.address());
+      emptyReplicas.add(join.header().from(), join.header().fromIncarnation(), join.address());
       return tryBootstrap();
     }
     if (join.bootstrapConfiguration() == null) {
@@ -110,11 +111,11 @@
   }
 
   private boolean tryBootstrap() {
-    boolean founder = settings.founders().contains(state.id);
-    if (!founder || !joins.containsAll(settings.founders())) {
+    boolean isFounder = settings.founders().contains(state.id);
+    if (!isFounder || !emptyReplicas.containsAll(settings.founders())) {
       return false;
     }
-    adopt(joins.configuration(settings.founders()));
+    adopt(emptyReplicas.configuration(settings.founders()));
     return true;
   }
 
--- a/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/storage/SnapshotFiles.java
@@ -70,7 +70,7 @@
   }
 
   /** The metadata of the newest snapshot of a group. */
-  public Optional<SnapshotMetadata> newest(int group) throws IOException {
+  public Optional<SnapshotMetadata> newestMetadata(int group) throws IOException {
     Optional<Path> file = newestFile(group);
     if (file.isEmpty()) {
       return Optional.empty();
@@ -105,19 +105,19 @@
           newestFile(group).orElseThrow(() -> new IOException("no snapshot of group " + group));
       try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
         long remaining = Math.max(0, channel.size() - offset);
-        ByteBuffer part = ByteBuffer.allocate((int) Math.min(maxLength, remaining));
+        ByteBuffer chunk = ByteBuffer.allocate((int) Math.min(maxLength, remaining));
         int read = 0;
-        while (part.hasRemaining() && read >= 0) {
-          read = channel.read(part, offset + part.position());
+        while (chunk.hasRemaining() && read >= 0) {
+          read = channel.read(chunk, offset + chunk.position());
         }
-        return Result.ok(part.array());
+        return Result.ok(chunk.array());
       }
     } catch (IOException e) {
       return Result.err(new StorageError.Io("read snapshot of group " + group, e.toString()));
     }
   }
 
-  /** The length of the newest snapshot's file in bytes, 0 when there is none. */
+  /** The length in bytes of the newest snapshot's file; 0 when there is none. */
   public long newestLength(int group) throws IOException {
     Optional<Path> file = newestFile(group);
     return file.isEmpty() ? 0 : Files.size(file.get());
--- a/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
@@ -38,13 +38,13 @@
   private final DeclarationStore store = new DeclarationStore();
   private final TreeMap<Long, DeclarationDelta> deltas = new TreeMap<>();
 
-  /** The declaration with its version and digest; to be read on the state machine's thread. */
+  /** The declaration with its version and digest; confined to the state machine's thread. */
   public DeclarationStore store() {
     return store;
   }
 
   @Override
-  public long timeMs() {
+  public long logTimeMs() {
     return clock.nowMs();
   }
 
@@ -92,7 +92,7 @@
     if (engine == null) {
       return new Rejected(RejectionCode.NOT_FOUND, "no engine " + command.engine());
     }
-    EngineSpec changed =
+    EngineSpec changedEngine =
         new EngineSpec(
             engine.name(),
             engine.address(),
@@ -100,7 +100,7 @@
             engine.service(),
             engine.batchSlots(),
             command.draining());
-    Declaration upsert = new Declaration(List.of(), List.of(), List.of(changed));
+    Declaration upsert = new Declaration(List.of(), List.of(), List.of(changedEngine));
     DeclarationDelta delta =
         new DeclarationDelta(upsert, new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     List<String> changes = store.describe(delta);
@@ -117,7 +117,7 @@
     }
   }
 
-  /** The delta that follows {@code version}, if it is still kept. */
+  /** The delta from {@code version} to the next; empty when it is no longer kept. */
   public Optional<DeclarationDelta> deltaAfter(long version) {
     return Optional.ofNullable(deltas.get(version + 1));
   }
