--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
@@ -73,7 +73,7 @@
       reply.reply(group.notLeader());
       return;
     }
-    notice.served().forEach(detector::clear);
+    notice.served().forEach(detector::remove);
     notice.ends().forEach(end -> detector.add(end, nowMs));
     List<RequestFingerprint> causes = detector.causes(state::isQuarantined);
     releaseExonerated(causes);
@@ -128,7 +128,7 @@
     }
     if (!expired.isEmpty()) {
       release(expired, "held for long enough");
-      expired.forEach(detector::clear);
+      expired.forEach(detector::remove);
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -35,7 +35,7 @@
  */
 final class EngineConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog EVENTS = EventLog.of(EngineConnection.class);
-  private static final String NONE = "";
+  private static final String NO_VALUE = "";
 
   /**
    * Bounds the request ids kept by a connection to about 23 KB, at 90 bytes each; costs one new
@@ -49,7 +49,7 @@
   private enum ReadState {
     HEAD,
     BODY,
-    SKIPPED_BODY
+    IGNORED_BODY
   }
 
   private final NettyEngineTransport owner;
@@ -58,7 +58,7 @@
   private final Set<String> sentRequestIds = new HashSet<>();
   private ChannelHandlerContext context;
   private PendingCall currentCall;
-  private ChannelFuture requestWritten;
+  private ChannelFuture requestWrite;
   private ReadState readState = ReadState.HEAD;
   private boolean keepAlive;
   private boolean usedBefore;
@@ -84,8 +84,8 @@
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext added) {
-    context = added;
+  public void handlerAdded(ChannelHandlerContext ctx) {
+    context = ctx;
   }
 
   /** Whether {@code requestId} was not sent here before: responses do not tell attempts apart. */
@@ -101,17 +101,17 @@
     call.onSent(this);
     readState = ReadState.HEAD;
     responseStarted = false;
-    requestWritten = context.channel().writeAndFlush(protocol.write(call.call()));
+    requestWrite = context.channel().writeAndFlush(protocol.write(call.call()));
   }
 
   /** Whether an idle connection may carry another call. */
   boolean isUsable(long nowNs, long limitMs) {
     long idleMs = TimeUnit.NANOSECONDS.toMillis(nowNs - idleSinceNs);
-    long limit = limitMs;
+    long effectiveLimitMs = limitMs;
     if (engineIdleTimeoutMs > 0) {
-      limit = Math.min(limit, engineIdleTimeoutMs - IDLE_MARGIN_MS);
+      effectiveLimitMs = Math.min(effectiveLimitMs, engineIdleTimeoutMs - IDLE_MARGIN_MS);
     }
-    return context.channel().isActive() && idleMs < limit;
+    return context.channel().isActive() && idleMs < effectiveLimitMs;
   }
 
   /** Keeps a connection that was established after its call was canceled. */
@@ -161,7 +161,7 @@
   private void readHead(HttpResponse head) {
     HttpResponseStatus status = head.status();
     if (status.codeClass() == HttpStatusClass.INFORMATIONAL) {
-      readState = ReadState.SKIPPED_BODY;
+      readState = ReadState.IGNORED_BODY;
       return;
     }
     EngineResponse response = protocol.read(head);
@@ -169,7 +169,7 @@
     if (!response.requestId().equals(currentCall.call().requestId())) {
       logDropped(head, "it names another request");
       responseDropped = true;
-      readState = ReadState.SKIPPED_BODY;
+      readState = ReadState.IGNORED_BODY;
       if (!success && response.requestId().equals(EngineCall.NO_REQUEST_ID)) {
         abortCall("a failure that names no request");
       }
@@ -180,14 +180,14 @@
       return;
     }
     readState = ReadState.BODY;
-    keepAlive = HttpUtil.isKeepAlive(head) && !endsWithConnection(head);
+    keepAlive = HttpUtil.isKeepAlive(head) && !isCloseDelimited(head);
     engineIdleTimeoutMs = response.idleTimeoutMs();
     currentCall.listener().onHead(response);
   }
 
   private void logDropped(HttpObject message, String reason) {
-    String namedRequestId = NONE;
-    String status = NONE;
+    String namedRequestId = NO_VALUE;
+    String status = NO_VALUE;
     if (message instanceof HttpResponse head) {
       namedRequestId = protocol.read(head).requestId();
       status = String.valueOf(head.status().code());
@@ -197,7 +197,7 @@
         "engine",
         engine.id(),
         "awaited",
-        currentCall == null ? NONE : currentCall.call().requestId(),
+        currentCall == null ? NO_VALUE : currentCall.call().requestId(),
         "named",
         namedRequestId,
         "status",
@@ -208,7 +208,7 @@
         completedCalls);
   }
 
-  private static boolean endsWithConnection(HttpResponse head) {
+  private static boolean isCloseDelimited(HttpResponse head) {
     return !HttpUtil.isTransferEncodingChunked(head) && !HttpUtil.isContentLengthSet(head);
   }
 
@@ -225,7 +225,7 @@
   }
 
   private void completeCall() {
-    PendingCall completed = currentCall;
+    PendingCall completedCall = currentCall;
     currentCall = null;
     completedCalls++;
     resumeReading();
@@ -236,13 +236,13 @@
     } else {
       close();
     }
-    completed.complete();
+    completedCall.complete();
   }
 
   private boolean isReusable() {
-    boolean clean = requestWritten.isDone() && !responseDropped;
+    boolean isClean = requestWrite.isDone() && !responseDropped;
     boolean hasRoom = sentRequestIds.size() < MAX_REQUESTS_PER_CONNECTION;
-    return keepAlive && clean && hasRoom && context.channel().isActive();
+    return keepAlive && isClean && hasRoom && context.channel().isActive();
   }
 
   private void abortCall(String reason) {
@@ -257,10 +257,10 @@
   }
 
   private void fail(EngineFailure failure, String reason) {
-    PendingCall failed = currentCall;
+    PendingCall failedCall = currentCall;
     close();
-    if (failed != null) {
-      failed.fail(failure, reason);
+    if (failedCall != null) {
+      failedCall.fail(failure, reason);
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
@@ -73,7 +73,7 @@
    * Whether an engine that just refused a connection is down. An engine at its connection limit
    * refuses connections too, but then some are open.
    */
-  public boolean isDown(EngineInstance engine) {
+  public boolean isDownAfterRefusal(EngineInstance engine) {
     return transport.openConnections(engine) == 0;
   }
 
@@ -146,7 +146,7 @@
     @Override
     public void onFailure(EngineFailure failure, String reason) {
       if (failure == EngineFailure.CONNECTION_REFUSED) {
-        finish(isDown(engine) ? Verdict.ENDED : Verdict.ALIVE);
+        finish(isDownAfterRefusal(engine) ? Verdict.ENDED : Verdict.ALIVE);
       } else if (failure.isLostConnection() && attempts < MAX_ATTEMPTS && !decided) {
         send();
       } else {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
@@ -55,8 +55,8 @@
     Placement best = null;
     double bestCost = Double.MAX_VALUE;
     for (EngineState engine : candidates) {
-      boolean cached = owner.filter(engine::equals).isPresent();
-      long prefillTokens = prompt.tokens() - (cached ? prompt.sharedPrefixTokens() : 0);
+      boolean isCached = owner.filter(engine::equals).isPresent();
+      long prefillTokens = prompt.tokens() - (isCached ? prompt.sharedPrefixTokens() : 0);
       double cost =
           workCost(engine, prefillTokens, pace, nowMs)
               + engine.recentWaitMs(nowMs) / WAIT_MS_PER_FULL_LOAD
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
@@ -32,11 +32,11 @@
   private static final double MAX_FACTOR = 2;
 
   private double msPerEvent;
-  private int samples;
+  private int sampleCount;
   private long lastSampleAtMs;
-  private double averageReported;
+  private double averageReportedPercent;
   private int reportCount;
-  private double lastReported;
+  private double lastReportedPercent;
   private long lastReportAtMs;
 
   /** Adds a stream that delivered {@code events} events over {@code spanMs}. */
@@ -45,22 +45,22 @@
       return;
     }
     double sample = spanMs / (double) events;
-    if (samples == 0) {
+    if (sampleCount == 0) {
       msPerEvent = sample;
     } else {
       double min = msPerEvent / MAX_CHANGE_FACTOR;
-      double clipped = Math.max(min, Math.min(msPerEvent * MAX_CHANGE_FACTOR, sample));
-      msPerEvent += (clipped - msPerEvent) / Math.min(samples + 1, MAX_SAMPLES);
+      double clippedSample = Math.max(min, Math.min(msPerEvent * MAX_CHANGE_FACTOR, sample));
+      msPerEvent += (clippedSample - msPerEvent) / Math.min(sampleCount + 1, MAX_SAMPLES);
     }
-    samples = Math.min(samples + 1, MAX_SAMPLES);
+    sampleCount = Math.min(sampleCount + 1, MAX_SAMPLES);
     lastSampleAtMs = nowMs;
   }
 
   /** Adds a pace that the engine reported. */
-  public void onReported(int pacePercent, long nowMs) {
+  public void onPaceReport(int pacePercent, long nowMs) {
     reportCount = Math.min(reportCount + 1, MAX_SAMPLES);
-    averageReported += (pacePercent - averageReported) / reportCount;
-    lastReported = pacePercent;
+    averageReportedPercent += (pacePercent - averageReportedPercent) / reportCount;
+    lastReportedPercent = pacePercent;
     lastReportAtMs = nowMs;
   }
 
@@ -70,7 +70,7 @@
   }
 
   boolean hasSamples() {
-    return samples > 0;
+    return sampleCount > 0;
   }
 
   /** Average time per event of the sampled streams; 0 before the first one. */
@@ -80,7 +80,7 @@
 
   /** Weight of the samples, in streams; decays with time. */
   double weight(long nowMs) {
-    return samples * Math.pow(0.5, (nowMs - lastSampleAtMs) / SAMPLES_HALF_LIFE_MS);
+    return sampleCount * Math.pow(0.5, (nowMs - lastSampleAtMs) / SAMPLES_HALF_LIFE_MS);
   }
 
   /** Current duration of work as a multiple of this engine's average; 1 if not reported. */
@@ -88,7 +88,7 @@
     if (reportCount == 0) {
       return 1;
     }
-    double factor = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, lastReported / averageReported));
+    double factor = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, lastReportedPercent / averageReportedPercent));
     return 1 + (factor - 1) * Math.pow(0.5, (nowMs - lastReportAtMs) / REPORT_HALF_LIFE_MS);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
@@ -31,10 +31,10 @@
   private int peerCalls;
   private int otherCallsAtReport;
   private long reportedAtMs = Long.MIN_VALUE / 2;
-  private int failures;
+  private int consecutiveFailures;
   private long ejectedUntilMs;
   private long downUntilMs = Long.MIN_VALUE;
-  private boolean gone;
+  private boolean removed;
   private long lastReceivedMs;
   private long lastStartMs;
 
@@ -45,8 +45,8 @@
     this.instanceHash = LongHashFunction.xx3().hashBytes(lifeId);
   }
 
-  void update(EngineInstance newer) {
-    instance = newer;
+  void update(EngineInstance listed) {
+    instance = listed;
   }
 
   /** The engine as listed. */
@@ -96,7 +96,7 @@
   /** Data arrived from the engine. */
   public void onDataReceived(long nowMs) {
     lastReceivedMs = nowMs;
-    failures = 0;
+    consecutiveFailures = 0;
   }
 
   /** Time since data last arrived while calls are in progress; 0 if none are. */
@@ -106,8 +106,8 @@
 
   /** The first bytes of a call arrived {@code waitMs} later than prefill alone takes. */
   public void onFirstBytes(long waitMs, long nowMs) {
-    double recent = recentWaitMs(nowMs);
-    recentWaitMs = recent + (waitMs - recent) * NEW_WAIT_WEIGHT;
+    double previousWaitMs = recentWaitMs(nowMs);
+    recentWaitMs = previousWaitMs + (waitMs - previousWaitMs) * NEW_WAIT_WEIGHT;
     waitUpdatedAtMs = nowMs;
   }
 
@@ -118,11 +118,11 @@
 
   /** The engine reported its load. */
   public void onLoadReport(EngineLoadReport report, long nowMs) {
-    int known = inFlight + peerCalls;
-    otherCallsAtReport = Math.max(0, report.running() + report.waiting() - known);
+    int knownCalls = inFlight + peerCalls;
+    otherCallsAtReport = Math.max(0, report.running() + report.waiting() - knownCalls);
     reportedAtMs = nowMs;
     if (report.hasPace()) {
-      pace.onReported(report.pacePercent(), nowMs);
+      pace.onPaceReport(report.pacePercent(), nowMs);
     }
   }
 
@@ -148,19 +148,19 @@
 
   /** A call failed because of the engine; ejects it with exponential backoff. */
   public void onFailure(long nowMs) {
-    failures++;
-    long shift = Math.min(failures - 1, 3);
+    consecutiveFailures++;
+    long shift = Math.min(consecutiveFailures - 1, 3);
     ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << shift);
   }
 
   /** The engine rejected a call because it is full. */
-  public void onFull(long nowMs, long forMs) {
-    ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + forMs);
+  public void onFull(long nowMs, long ejectionMs) {
+    ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + ejectionMs);
   }
 
   /** The engine is no longer listed, or another engine has its address. */
-  public void onGone() {
-    gone = true;
+  public void onRemoved() {
+    removed = true;
   }
 
   /** This engine instance is down. */
@@ -175,7 +175,7 @@
 
   /** Whether no calls may be sent, even if no other engine is left. */
   public boolean isOutOfService(long nowMs) {
-    return gone || instance.draining() || nowMs < downUntilMs;
+    return removed || instance.draining() || nowMs < downUntilMs;
   }
 
   /**
@@ -189,7 +189,7 @@
   }
 
   /** Age of the latest load report; -1 if there is none. */
-  public long loadAgeMs(long nowMs) {
+  public long loadReportAgeMs(long nowMs) {
     return reportedAtMs < 0 ? -1 : nowMs - reportedAtMs;
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
@@ -30,7 +30,7 @@
             entry -> {
               boolean missing = !listed.containsKey(entry.getKey());
               if (missing) {
-                entry.getValue().onGone();
+                entry.getValue().onRemoved();
               }
               return missing;
             });
@@ -47,7 +47,7 @@
       return;
     }
     if (known != null) {
-      known.onGone();
+      known.onRemoved();
     }
     engines.put(id, new EngineState(instance, reportHalfLifeMs));
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
@@ -12,14 +12,14 @@
   private static final long MIN_LIMIT_MS = 200;
   private static final double SAFETY_FACTOR = 0.7;
 
-  private final Map<String, Long> limits = new HashMap<>();
+  private final Map<String, Long> limitMsByService = new HashMap<>();
 
   long limitMs(String service) {
-    return limits.getOrDefault(service, DEFAULT_LIMIT_MS);
+    return limitMsByService.getOrDefault(service, DEFAULT_LIMIT_MS);
   }
 
   void onIdleClosed(String service, long idleMs) {
     long limitMs = Math.max(MIN_LIMIT_MS, (long) (idleMs * SAFETY_FACTOR));
-    limits.merge(service, limitMs, Math::min);
+    limitMsByService.merge(service, limitMs, Math::min);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
@@ -64,9 +64,9 @@
   @Override
   public Handle start(EngineCall call, EngineListener listener) {
     PendingCall pending = new PendingCall(call, listener);
-    EngineConnection kept = takeIdle(call);
-    if (kept != null) {
-      kept.send(pending);
+    EngineConnection idleConnection = takeIdle(call);
+    if (idleConnection != null) {
+      idleConnection.send(pending);
     } else {
       connect(pending);
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
@@ -24,9 +24,9 @@
   /**
    * Creates a scanner that resumes after event {@code resumeAfter}; -1 if the first id is unknown.
    */
-  public SseEventScanner(long resumeAfter) {
-    this.lastId = resumeAfter;
-    this.hasLastId = resumeAfter >= 0;
+  public SseEventScanner(long resumeAfterId) {
+    this.lastId = resumeAfterId;
+    this.hasLastId = resumeAfterId >= 0;
   }
 
   /** Adds bytes and returns the events that they complete. */
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
@@ -5,28 +5,28 @@
  * is left out, because it includes queueing and prefill. Confined to one thread.
  */
 public final class StreamTiming {
-  private long firstEvent = -1;
-  private long firstMs;
-  private long lastEvent = -1;
-  private long lastMs;
+  private long firstEventId = -1;
+  private long firstEventAtMs;
+  private long lastEventId = -1;
+  private long lastEventAtMs;
 
   /** Records that the stream has reached {@code event}. */
-  public void onEvent(long event, long nowMs) {
-    if (firstEvent < 0) {
-      firstEvent = event;
-      firstMs = nowMs;
+  public void onEvent(long eventId, long nowMs) {
+    if (firstEventId < 0) {
+      firstEventId = eventId;
+      firstEventAtMs = nowMs;
     }
-    lastEvent = event;
-    lastMs = nowMs;
+    lastEventId = eventId;
+    lastEventAtMs = nowMs;
   }
 
   /** Number of events after the first recorded one. */
   public long eventsAfterFirst() {
-    return lastEvent - firstEvent;
+    return lastEventId - firstEventId;
   }
 
   /** Time from the first recorded event to the last one. */
   public long spanMs() {
-    return lastMs - firstMs;
+    return lastEventAtMs - firstEventAtMs;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/TrafficSplit.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/TrafficSplit.java
@@ -11,7 +11,7 @@
  * gains credit in proportion to its weight, and the one with the most credit is chosen.
  */
 public final class TrafficSplit {
-  private final Map<String, double[]> credits = new HashMap<>();
+  private final Map<String, double[]> creditsByRoute = new HashMap<>();
 
   /** Returns the service for the next request of the route. */
   public String next(RouteSpec route) {
@@ -19,23 +19,23 @@
     if (targets.size() == 1) {
       return targets.get(0).service();
     }
-    double[] credit =
-        credits.compute(
+    double[] targetCredits =
+        creditsByRoute.compute(
             route.name(),
             (name, known) ->
                 known == null || known.length != targets.size()
                     ? new double[targets.size()]
                     : known);
     double total = targets.stream().mapToInt(RouteTarget::weight).sum();
-    int best = -1;
-    for (int i = 0; i < credit.length; i++) {
-      credit[i] += targets.get(i).weight() / total;
+    int bestIndex = -1;
+    for (int i = 0; i < targetCredits.length; i++) {
+      targetCredits[i] += targets.get(i).weight() / total;
       boolean eligible = targets.get(i).weight() > 0;
-      if (eligible && (best < 0 || credit[i] > credit[best])) {
-        best = i;
+      if (eligible && (bestIndex < 0 || targetCredits[i] > targetCredits[bestIndex])) {
+        bestIndex = i;
       }
     }
-    credit[best] -= 1;
-    return targets.get(best).service();
+    targetCredits[bestIndex] -= 1;
+    return targets.get(bestIndex).service();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
@@ -22,7 +22,7 @@
     this.engine = placement.engine();
     this.tokensToRead = placement.prefillTokens();
     this.estimatedLoad = engine.estimatedLoad(nowMs);
-    this.loadAgeMs = engine.loadAgeMs(nowMs);
+    this.loadAgeMs = engine.loadReportAgeMs(nowMs);
     this.sentMs = nowMs;
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -265,7 +265,7 @@
         engine.instance().slots(),
         engine.inFlight() + engine.peerCalls(),
         engine.estimatedLoad(nowMs),
-        engine.loadAgeMs(nowMs));
+        engine.loadReportAgeMs(nowMs));
   }
 
   private void updateWaitingGauge() {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -448,7 +448,7 @@
     private void onErrorResponse() {
       long now = nowMs();
       if (responseHead.wrongInstance()) {
-        engine().onGone();
+        engine().onRemoved();
         retryOrFinish(true, "another engine has the address");
       } else if (responseHead.notRun()) {
         engine().onFull(now, Math.max(responseHead.retryAfterMs(), 50));
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
@@ -29,10 +29,10 @@
   /** Engines also crash one by one for other reasons, but seldom three times under one request. */
   static final int SUFFICIENT_CRASHES = 3;
 
-  private static final double ANSWER_BEGAN_WEIGHT = 0.5;
+  private static final double RESPONSE_STARTED_WEIGHT = 0.5;
 
   /** Longer than callers retry a request after an engine has come back. */
-  private static final long WINDOW_MS = 60_000;
+  private static final long EVIDENCE_TTL_MS = 60_000;
 
   /** About 300 bytes each; the oldest are evicted when many engines crash under many requests. */
   private static final int MAX_REQUESTS = 2_048;
@@ -45,7 +45,7 @@
 
   /** Adds a crash; a repeated report of it is ignored. */
   public void add(EngineEnd crash, long nowMs) {
-    double weight = crash.answerBegan() ? ANSWER_BEGAN_WEIGHT : 1;
+    double weight = crash.answerBegan() ? RESPONSE_STARTED_WEIGHT : 1;
     crashesByRequest
         .computeIfAbsent(crash.request(), key -> new HashMap<>())
         .putIfAbsent(crash.engine(), new Evidence(weight, nowMs));
@@ -57,7 +57,7 @@
   }
 
   /** Removes a request that completed. */
-  public void clear(RequestFingerprint request) {
+  public void remove(RequestFingerprint request) {
     crashesByRequest.remove(request);
   }
 
@@ -70,12 +70,12 @@
   public void expire(long nowMs) {
     crashesByRequest
         .values()
-        .forEach(crashes -> crashes.values().removeIf(crash -> isOld(crash, nowMs)));
+        .forEach(crashes -> crashes.values().removeIf(crash -> isExpired(crash, nowMs)));
     crashesByRequest.values().removeIf(Map::isEmpty);
   }
 
-  private static boolean isOld(Evidence crash, long nowMs) {
-    return nowMs - crash.atMs() > WINDOW_MS;
+  private static boolean isExpired(Evidence crash, long nowMs) {
+    return nowMs - crash.atMs() > EVIDENCE_TTL_MS;
   }
 
   /** Whether an engine recently crashed under any request with this outline. */
@@ -116,14 +116,14 @@
             candidates.add(request);
           }
         });
-    Set<String> explained = new HashSet<>();
+    Set<String> explainedCrashes = new HashSet<>();
     List<RequestFingerprint> causes = new ArrayList<>();
     Optional<RequestFingerprint> strongest =
-        strongestCandidate(candidates, explained, isQuarantined);
+        strongestCandidate(candidates, explainedCrashes, isQuarantined);
     while (strongest.isPresent()) {
       causes.add(strongest.get());
-      explained.addAll(crashesByRequest.get(strongest.get()).keySet());
-      strongest = strongestCandidate(candidates, explained, isQuarantined);
+      explainedCrashes.addAll(crashesByRequest.get(strongest.get()).keySet());
+      strongest = strongestCandidate(candidates, explainedCrashes, isQuarantined);
     }
     return causes;
   }
@@ -131,12 +131,12 @@
   /** The request with the most unexplained crashes; empty if none has enough of them. */
   private Optional<RequestFingerprint> strongestCandidate(
       List<RequestFingerprint> candidates,
-      Set<String> explained,
+      Set<String> explainedCrashes,
       Predicate<RequestFingerprint> isQuarantined) {
     RequestFingerprint strongest = null;
     double maxWeight = 0;
     for (RequestFingerprint candidate : candidates) {
-      double weight = unexplainedWeight(candidate, explained);
+      double weight = unexplainedWeight(candidate, explainedCrashes);
       boolean isStronger =
           weight > maxWeight || (weight == maxWeight && isQuarantined.test(candidate));
       if (weight >= SUFFICIENT_CRASHES && isStronger) {
@@ -147,10 +147,10 @@
     return Optional.ofNullable(strongest);
   }
 
-  private double unexplainedWeight(RequestFingerprint request, Set<String> explained) {
+  private double unexplainedWeight(RequestFingerprint request, Set<String> explainedCrashes) {
     double weight = 0;
     for (Map.Entry<String, Evidence> crash : crashesByRequest.get(request).entrySet()) {
-      if (!explained.contains(crash.getKey())) {
+      if (!explainedCrashes.contains(crash.getKey())) {
         weight += crash.getValue().weight();
       }
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
@@ -38,11 +38,11 @@
   private static final int MAX_RECENT_CRASHES = 512;
 
   private final EventLoop eventLoop;
-  private final GroupClient coordinators;
+  private final GroupClient coordinatorClient;
   private final Runnable onAccepted;
   private final Deque<EngineEnd> recentCrashes = new ArrayDeque<>();
   private final Set<EngineEnd> unreportedCrashes = new LinkedHashSet<>();
-  private final Set<RequestFingerprint> served = new LinkedHashSet<>();
+  private final Set<RequestFingerprint> servedRequests = new LinkedHashSet<>();
   private boolean sending;
 
   /**
@@ -50,9 +50,9 @@
    *
    * @param onAccepted runs when a leader has accepted a notice, to fetch what follows from it
    */
-  public EngineCrashReporter(EventLoop eventLoop, GroupClient coordinators, Runnable onAccepted) {
+  public EngineCrashReporter(EventLoop eventLoop, GroupClient coordinatorClient, Runnable onAccepted) {
     this.eventLoop = eventLoop;
-    this.coordinators = coordinators;
+    this.coordinatorClient = coordinatorClient;
     this.onAccepted = onAccepted;
   }
 
@@ -68,7 +68,7 @@
   void reportServed(RequestFingerprint request) {
     recentCrashes.removeIf(crash -> crash.request().equals(request));
     unreportedCrashes.removeIf(crash -> crash.request().equals(request));
-    served.add(request);
+    servedRequests.add(request);
     sendAfter(BATCH_DELAY_MS);
   }
 
@@ -89,8 +89,8 @@
 
   private void send() {
     EngineEndNotice notice =
-        new EngineEndNotice(List.copyOf(unreportedCrashes), List.copyOf(served));
-    coordinators
+        new EngineEndNotice(List.copyOf(unreportedCrashes), List.copyOf(servedRequests));
+    coordinatorClient
         .call(notice, CALL_TIMEOUT_MS, ATTEMPT_TIMEOUT_MS)
         .thenAcceptAsync(result -> onReply(notice, result), eventLoop);
   }
@@ -100,10 +100,10 @@
     boolean accepted = result.isOk() && result.value() instanceof EngineEndNoted;
     if (accepted) {
       unreportedCrashes.removeAll(new ArrayList<>(notice.ends()));
-      served.removeAll(new ArrayList<>(notice.served()));
+      servedRequests.removeAll(new ArrayList<>(notice.served()));
       onAccepted.run();
     }
-    if (!unreportedCrashes.isEmpty() || !served.isEmpty()) {
+    if (!unreportedCrashes.isEmpty() || !servedRequests.isEmpty()) {
       sendAfter(accepted ? BATCH_DELAY_MS : RETRY_PAUSE_MS);
     }
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/InterruptedRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/InterruptedRequest.java
@@ -5,6 +5,6 @@
 /**
  * A request that was in progress at an engine when the connection was lost.
  *
- * @param answerBegan whether its response had begun
+ * @param responseStarted whether its response had begun
  */
-public record InterruptedRequest(EngineCall call, boolean answerBegan) {}
+public record InterruptedRequest(EngineCall call, boolean responseStarted) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
@@ -30,7 +30,7 @@
  */
 public final class QuarantiningTransport implements EngineTransport {
   private static final EventLog EVENTS = EventLog.of(QuarantiningTransport.class);
-  private static final Handle NOTHING_TO_CANCEL = () -> {};
+  private static final Handle NO_OP_HANDLE = () -> {};
 
   private final EngineTransport transport;
   private final EngineLivenessProbe livenessProbe;
@@ -74,9 +74,9 @@
     if (call.hasRequestId() && quarantine.isQuarantined(call, nowMs())) {
       eventLoop.execute(
           () -> listener.onFailure(EngineFailure.QUARANTINED, "engines ended under this request"));
-      return NOTHING_TO_CANCEL;
+      return NO_OP_HANDLE;
     }
-    return transport.start(call, new WatchedCall(call, listener));
+    return transport.start(call, new ObservingListener(call, listener));
   }
 
   private void onInterrupted(InterruptedRequest request) {
@@ -111,7 +111,7 @@
     List<EngineEnd> crashes = new ArrayList<>();
     for (InterruptedRequest request : interrupted) {
       RequestFingerprint fingerprint = RequestFingerprints.fingerprint(request.call());
-      EngineEnd crash = new EngineEnd(engine.lifeId(), fingerprint, request.answerBegan());
+      EngineEnd crash = new EngineEnd(engine.lifeId(), fingerprint, request.responseStarted());
       logCrash(request.call().requestId(), crash);
       localDetector.add(crash, nowMs);
       crashes.add(crash);
@@ -141,21 +141,21 @@
     }
     RequestFingerprint request = RequestFingerprints.fingerprint(call);
     if (localDetector.contains(request)) {
-      localDetector.clear(request);
+      localDetector.remove(request);
       reporter.reportServed(request);
     }
   }
 
   /** Passes on the events of a call, and handles the loss of its connection. */
-  private final class WatchedCall implements EngineListener {
-    private static final int SUCCESS_FROM = 200;
-    private static final int SUCCESS_TO = 300;
+  private final class ObservingListener implements EngineListener {
+    private static final int MIN_SUCCESS_STATUS = 200;
+    private static final int MIN_REDIRECT_STATUS = 300;
 
     private final EngineCall call;
     private final EngineListener listener;
     private int status;
 
-    WatchedCall(EngineCall call, EngineListener listener) {
+    ObservingListener(EngineCall call, EngineListener listener) {
       this.call = call;
       this.listener = listener;
     }
@@ -173,7 +173,7 @@
 
     @Override
     public void onEnd() {
-      if (call.hasRequestId() && status >= SUCCESS_FROM && status < SUCCESS_TO) {
+      if (call.hasRequestId() && status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS) {
         onServed(call);
       }
       listener.onEnd();
@@ -184,7 +184,7 @@
       if (failure.isLostConnection() && call.hasRequestId()) {
         onInterrupted(new InterruptedRequest(call, status != 0));
       } else if (failure == EngineFailure.CONNECTION_REFUSED
-          && livenessProbe.isDown(call.engine())) {
+          && livenessProbe.isDownAfterRefusal(call.engine())) {
         onEngineDown.accept(call.engine());
       }
       listener.onFailure(failure, reason);
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
@@ -15,13 +15,13 @@
  */
 final class RequestQuarantine {
   /** Time for several leader elections, which take 0.6 to 1.2 s each. */
-  private static final long LOCAL_VALID_MS = 10_000;
+  private static final long LOCAL_QUARANTINE_MS = 10_000;
 
   private final Set<Integer> outlines = new HashSet<>();
-  private final Set<RequestFingerprint> confirmed = new HashSet<>();
-  private final Set<RequestFingerprint> local = new HashSet<>();
+  private final Set<RequestFingerprint> confirmedRequests = new HashSet<>();
+  private final Set<RequestFingerprint> localRequests = new HashSet<>();
   private long version = QuarantineList.NONE.version();
-  private long localUntilMs;
+  private long localExpiryMs;
 
   /** Applies the list of the leading coordinator. */
   void update(QuarantineList list) {
@@ -29,28 +29,28 @@
       return;
     }
     version = list.version();
-    confirmed.clear();
-    confirmed.addAll(list.requests());
-    local.clear();
+    confirmedRequests.clear();
+    confirmedRequests.addAll(list.requests());
+    localRequests.clear();
     rebuildOutlines();
   }
 
   /** Adds requests that this process has found. */
-  void addLocal(Collection<RequestFingerprint> found, long nowMs) {
-    if (local.addAll(found)) {
-      localUntilMs = nowMs + LOCAL_VALID_MS;
+  void addLocal(Collection<RequestFingerprint> causes, long nowMs) {
+    if (localRequests.addAll(causes)) {
+      localExpiryMs = nowMs + LOCAL_QUARANTINE_MS;
       rebuildOutlines();
     }
   }
 
   private void rebuildOutlines() {
     outlines.clear();
-    confirmed.forEach(request -> outlines.add(request.outline()));
-    local.forEach(request -> outlines.add(request.outline()));
+    confirmedRequests.forEach(request -> outlines.add(request.outline()));
+    localRequests.forEach(request -> outlines.add(request.outline()));
   }
 
   boolean isConfirmed(RequestFingerprint request) {
-    return confirmed.contains(request);
+    return confirmedRequests.contains(request);
   }
 
   /** Whether a call's request is quarantined; reads the body only if the outline matches. */
@@ -59,6 +59,6 @@
       return false;
     }
     RequestFingerprint request = RequestFingerprints.fingerprint(call);
-    return confirmed.contains(request) || (nowMs < localUntilMs && local.contains(request));
+    return confirmedRequests.contains(request) || (nowMs < localExpiryMs && localRequests.contains(request));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
@@ -348,7 +348,7 @@
       case IMPOSSIBLE -> giveUp(run, "impossible");
       case FAILED -> onItemFailed(run, nowMs);
       case UNCLEAR -> run.waitUntil(nowMs + unclearRetryDelayMs(run.countUnclearResponse()));
-      case OTHER_INSTANCE -> engine.onGone();
+      case OTHER_INSTANCE -> engine.onRemoved();
       case QUARANTINED -> run.waitUntil(nowMs + QUARANTINE_RETRY_DELAY_MS);
       case YIELDED -> run.waitUntil(nowMs + YIELD_RETRY_DELAY_MS);
       case REFUSED -> {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchSlotPolicy.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchSlotPolicy.java
@@ -60,7 +60,7 @@
    * @param leadingForMs for how long this store has led and requested reports
    */
   boolean isLoadKnown(EngineState engine, long leadingForMs, long nowMs) {
-    boolean reported = engine.loadAgeMs(nowMs) >= 0;
+    boolean reported = engine.loadReportAgeMs(nowMs) >= 0;
     return reported || leadingForMs >= FIRST_REPORT_WAIT_MS;
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemLog.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemLog.java
@@ -24,7 +24,7 @@
         "load",
         String.format(Locale.ROOT, "%.1f", engine.estimatedLoad(nowMs)),
         "load_age_ms",
-        engine.loadAgeMs(nowMs),
+        engine.loadReportAgeMs(nowMs),
         "pace",
         String.format(Locale.ROOT, "%.1f", pace),
         "after_event",
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
@@ -120,7 +120,7 @@
   private void reportMomentaryPace() {
     EngineLoadReport load = stream.load();
     if (load != null && load.pacePercent() != EngineLoadReport.PACE_UNKNOWN) {
-      engine.pace().onReported(load.pacePercent(), stream.headReceivedMs());
+      engine.pace().onPaceReport(load.pacePercent(), stream.headReceivedMs());
     }
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
@@ -28,8 +28,8 @@
   private static final double PREFILL_MS = 9;
   private static final long LATENCY_TARGET_MS = 305;
   private static final long DURATION_MS = 40_000;
-  private static final long PEAK_INTERVAL_MS = 6_600;
-  private static final long PEAK_MS = 2_800;
+  private static final long PEAK_PERIOD_MS = 6_600;
+  private static final long PEAK_DURATION_MS = 2_800;
   private static final double OFF_PEAK_REQUESTS_PER_MS = 0.15;
   private static final double PEAK_REQUESTS_PER_MS = 0.54;
   private static final long REPORT_HALF_LIFE_MS = 250;
@@ -127,9 +127,9 @@
     if (nowMs > DURATION_MS) {
       return;
     }
-    double perMs =
-        nowMs % PEAK_INTERVAL_MS < PEAK_MS ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS;
-    schedule(-Math.log(1 - random.nextDouble()) / perMs, this::arrive);
+    double requestsPerMs =
+        nowMs % PEAK_PERIOD_MS < PEAK_DURATION_MS ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS;
+    schedule(-Math.log(1 - random.nextDouble()) / requestsPerMs, this::arrive);
     int gateway = random.nextInt(GATEWAYS);
     List<EngineState> usable = tables.get(gateway).usable("s", Set.of(), clockMs());
     Placement placement =
@@ -155,18 +155,18 @@
               new EngineLoadReport(
                   engine.running, engine.waiting.size(), SLOTS, EngineInstance.BORN_UNKNOWN, pace);
           state.onLoadReport(load, clockMs());
-          count(engine, nowMs - sentMs > LATENCY_TARGET_MS);
+          countServed(engine, nowMs - sentMs > LATENCY_TARGET_MS);
           double restMs = (EVENTS - 1) * eventMs;
           schedule(restMs, () -> end(state, engine, (long) restMs));
         });
   }
 
-  private void count(Engine engine, boolean isLate) {
-    boolean slow = engine.eventMs == SLOW_EVENT_MS;
+  private void countServed(Engine engine, boolean isLate) {
+    boolean isSlow = engine.eventMs == SLOW_EVENT_MS;
     served++;
     late += isLate ? 1 : 0;
-    servedBySlow += slow ? 1 : 0;
-    lateAtSlow += slow && isLate ? 1 : 0;
+    servedBySlow += isSlow ? 1 : 0;
+    lateAtSlow += isSlow && isLate ? 1 : 0;
   }
 
   private void end(EngineState state, Engine engine, long spanMs) {
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
@@ -101,12 +101,12 @@
     EngineState owner = choose(longPrompt("x"));
     Map<String, EngineInstance> listed = new HashMap<>();
     table.all().forEach(engine -> listed.put(engine.instance().id(), engine.instance()));
-    String other =
+    String otherId =
         listed.keySet().stream()
             .filter(id -> !id.equals(owner.instance().id()))
             .findFirst()
             .orElseThrow();
-    listed.remove(other);
+    listed.remove(otherId);
     table.update(listed);
     assertThat(choose(longPrompt("x"))).isEqualTo(owner);
     listed.remove(owner.instance().id());
@@ -116,56 +116,56 @@
 
   @Test
   void avoidsEngineWithPendingPrefill() {
-    EngineState first = choose(SHORT_PROMPT);
-    first.onPromptSent(20_000);
+    EngineState busyEngine = choose(SHORT_PROMPT);
+    busyEngine.onPromptSent(20_000);
     for (int i = 0; i < 10; i++) {
-      assertThat(choose(SHORT_PROMPT)).isNotEqualTo(first);
+      assertThat(choose(SHORT_PROMPT)).isNotEqualTo(busyEngine);
     }
   }
 
   @Test
   void skipsDrainingAndFailedEngines() {
-    EngineState failed = table.find("a0");
-    failed.onFailure(NOW_MS);
-    assertThat(table.usable("s", Set.of(), NOW_MS)).doesNotContain(failed).hasSize(5);
-    failed.onDataReceived(NOW_MS);
-    assertThat(table.usable("s", Set.of(), NOW_MS + 600)).contains(failed);
-    failed.update(new EngineInstance("a0", "s", "h:1", "a", 10, true));
-    assertThat(table.usable("s", Set.of(), NOW_MS + 600)).doesNotContain(failed);
-    assertThat(table.inService("s", Set.of(), NOW_MS)).doesNotContain(failed);
+    EngineState failedEngine = table.find("a0");
+    failedEngine.onFailure(NOW_MS);
+    assertThat(table.usable("s", Set.of(), NOW_MS)).doesNotContain(failedEngine).hasSize(5);
+    failedEngine.onDataReceived(NOW_MS);
+    assertThat(table.usable("s", Set.of(), NOW_MS + 600)).contains(failedEngine);
+    failedEngine.update(new EngineInstance("a0", "s", "h:1", "a", 10, true));
+    assertThat(table.usable("s", Set.of(), NOW_MS + 600)).doesNotContain(failedEngine);
+    assertThat(table.inService("s", Set.of(), NOW_MS)).doesNotContain(failedEngine);
   }
 
   @Test
   void unlistedEngineIsUnusable() {
-    EngineState unlisted = table.find("a0");
+    EngineState unlistedEngine = table.find("a0");
     table.update(Map.of());
-    assertThat(unlisted.isUsable(NOW_MS)).isFalse();
+    assertThat(unlistedEngine.isUsable(NOW_MS)).isFalse();
     assertThat(table.all()).isEmpty();
   }
 
   @Test
   void avoidsEngineAfterLongWaits() {
-    EngineState slow = choose(SHORT_PROMPT);
+    EngineState slowEngine = choose(SHORT_PROMPT);
     for (int i = 0; i < 5; i++) {
-      slow.onFirstBytes(500, NOW_MS);
+      slowEngine.onFirstBytes(500, NOW_MS);
     }
-    assertThat(choose(SHORT_PROMPT)).isNotEqualTo(slow);
-    assertThat(slow.recentWaitMs(NOW_MS + 4_000)).isLessThan(5);
+    assertThat(choose(SHORT_PROMPT)).isNotEqualTo(slowEngine);
+    assertThat(slowEngine.recentWaitMs(NOW_MS + 4_000)).isLessThan(5);
   }
 
-  private void reportPace(String id, long eventMs) {
+  private void addPaceReportAndStreams(String id, long eventMs) {
     EngineState engine = table.find(id);
     engine.onLoadReport(new EngineLoadReport(0, 0, 10, EngineInstance.BORN_UNKNOWN, 100), NOW_MS);
-    showPace(id, eventMs);
+    addStreams(id, eventMs);
   }
 
-  private void showPace(String id, long eventMs) {
+  private void addStreams(String id, long eventMs) {
     for (int i = 0; i < 4; i++) {
       table.find(id).pace().onStream(20, 20 * eventMs, NOW_MS);
     }
   }
 
-  private void start(String id, int calls) {
+  private void startCalls(String id, int calls) {
     for (int i = 0; i < calls; i++) {
       table.find(id).onStart(NOW_MS);
     }
@@ -181,37 +181,37 @@
 
   @Test
   void usesSlowEngineWhenOthersFill() {
-    reportPace("a0", 27);
-    reportPace("a1", 27);
-    reportPace("a2", 75);
+    addPaceReportAndStreams("a0", 27);
+    addPaceReportAndStreams("a1", 27);
+    addPaceReportAndStreams("a2", 75);
     assertThat(chosenIds()).as("all engines are idle").containsExactlyInAnyOrder("a0", "a1");
-    start("a0", 2);
-    start("a1", 2);
+    startCalls("a0", 2);
+    startCalls("a1", 2);
     assertThat(chosenIds())
         .as("one request there takes as long as three elsewhere")
         .doesNotContain("a2");
-    start("a0", 4);
-    start("a1", 4);
+    startCalls("a0", 4);
+    startCalls("a1", 4);
     assertThat(chosenIds()).as("the fast engines are busy").containsExactly("a2");
   }
 
   @Test
   void newEngineHasMedianPace() {
-    reportPace("a0", 27);
-    reportPace("a1", 75);
-    reportPace("b0", 27);
-    start("a0", 1);
+    addPaceReportAndStreams("a0", 27);
+    addPaceReportAndStreams("a1", 75);
+    addPaceReportAndStreams("b0", 27);
+    startCalls("a0", 1);
     assertThat(chosenIds()).containsExactly("a2");
   }
 
   @Test
   void ignoresPaceUnlessReported() {
-    showPace("a0", 27);
-    showPace("a1", 27);
-    showPace("a2", 75);
+    addStreams("a0", 27);
+    addStreams("a1", 27);
+    addStreams("a2", 75);
     assertThat(chosenIds()).containsExactlyInAnyOrder("a0", "a1", "a2");
-    start("a0", 1);
-    start("a1", 1);
+    startCalls("a0", 1);
+    startCalls("a1", 1);
     assertThat(chosenIds()).containsExactly("a2");
   }
 
@@ -220,12 +220,12 @@
    */
   @Test
   void fewLateRequestsAtPeaks() {
-    HeterogeneousEnginesSimulation.Result without =
+    HeterogeneousEnginesSimulation.Result withoutReports =
         new HeterogeneousEnginesSimulation(1, false).run();
-    HeterogeneousEnginesSimulation.Result with = new HeterogeneousEnginesSimulation(1, true).run();
-    assertThat(without.lateShare()).isGreaterThan(0.04);
-    assertThat(with.lateShare()).isLessThan(0.02);
-    assertThat(with.servedBySlow()).as("slow engines are used").isGreaterThan(with.served() / 20);
-    assertThat(with.lateAtSlow()).isLessThan(without.lateAtSlow() / 4);
+    HeterogeneousEnginesSimulation.Result withReports = new HeterogeneousEnginesSimulation(1, true).run();
+    assertThat(withoutReports.lateShare()).isGreaterThan(0.04);
+    assertThat(withReports.lateShare()).isLessThan(0.02);
+    assertThat(withReports.servedBySlow()).as("slow engines are used").isGreaterThan(withReports.served() / 20);
+    assertThat(withReports.lateAtSlow()).isLessThan(withoutReports.lateAtSlow() / 4);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadEstimate.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadEstimate.java
@@ -58,17 +58,17 @@
 
   @Property(tries = 200)
   void addsOwnCallsAndDecayedOthers(
-      @ForAll @IntRange(max = 20) int own,
-      @ForAll @IntRange(max = 40) int reported,
+      @ForAll @IntRange(max = 20) int ownCalls,
+      @ForAll @IntRange(max = 40) int reportedCalls,
       @ForAll @IntRange(max = 5_000) int ageMs) {
     EngineState alone = engine();
-    for (int i = 0; i < own; i++) {
+    for (int i = 0; i < ownCalls; i++) {
       alone.onStart(REPORTED_MS);
     }
-    alone.onLoadReport(new EngineLoadReport(reported, 0, 6), REPORTED_MS);
+    alone.onLoadReport(new EngineLoadReport(reportedCalls, 0, 6), REPORTED_MS);
     double weight = Math.pow(0.5, (double) ageMs / HALF_LIFE_MS);
     assertThat(alone.estimatedLoad(REPORTED_MS + ageMs))
-        .isEqualTo(own + Math.max(0, reported - own) * weight);
+        .isEqualTo(ownCalls + Math.max(0, reportedCalls - ownCalls) * weight);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEnginePace.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEnginePace.java
@@ -50,18 +50,18 @@
   void reportIsRelativeAndDecays() {
     assertThat(pace.currentFactor(NOW_MS)).isEqualTo(1);
     for (int i = 0; i < 20; i++) {
-      pace.onReported(270, NOW_MS);
+      pace.onPaceReport(270, NOW_MS);
     }
     assertThat(pace.currentFactor(NOW_MS)).as("equal to its average").isCloseTo(1, within(0.01));
-    pace.onReported(400, NOW_MS);
+    pace.onPaceReport(400, NOW_MS);
     assertThat(pace.currentFactor(NOW_MS)).isGreaterThan(1.3);
     assertThat(pace.currentFactor(NOW_MS + 500)).isCloseTo(1, within(0.02));
   }
 
   @Test
   void boundsCurrentFactor() {
-    pace.onReported(100, NOW_MS);
-    pace.onReported(10_000, NOW_MS);
+    pace.onPaceReport(100, NOW_MS);
+    pace.onPaceReport(10_000, NOW_MS);
     assertThat(pace.currentFactor(NOW_MS)).isBetween(0.5, 2.0);
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineRestart.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineRestart.java
@@ -18,7 +18,7 @@
     return new EngineInstance("e", "s", "h:1", "z", 4, false, bornMs);
   }
 
-  private void list(EngineInstance engine) {
+  private void updateTable(EngineInstance engine) {
     table.update(Map.of(engine.id(), engine));
   }
 
@@ -29,7 +29,7 @@
 
   @Test
   void pausesAfterEngineIsDown() {
-    list(instance(BORN_MS));
+    updateTable(instance(BORN_MS));
     table.onDown(instance(BORN_MS), NOW_MS);
     assertThat(isOffered(NOW_MS + 999)).isFalse();
     assertThat(isOffered(NOW_MS + 1_000)).as("the list may show the restart late").isTrue();
@@ -37,11 +37,11 @@
 
   @Test
   void restartResetsState() {
-    list(instance(BORN_MS));
+    updateTable(instance(BORN_MS));
     EngineState previous = table.find("e");
     previous.onStart(NOW_MS);
     table.onDown(instance(BORN_MS), NOW_MS);
-    list(instance(BORN_MS + 5_000));
+    updateTable(instance(BORN_MS + 5_000));
     assertThat(table.find("e")).isNotSameAs(previous);
     assertThat(table.find("e").inFlight()).isZero();
     assertThat(isOffered(NOW_MS)).isTrue();
@@ -49,17 +49,17 @@
   }
 
   @Test
-  void ignoresLateEndOfOldInstance() {
-    list(instance(BORN_MS + 5_000));
+  void ignoresFailureOfReplacedInstance() {
+    updateTable(instance(BORN_MS + 5_000));
     table.onDown(instance(BORN_MS), NOW_MS);
     assertThat(isOffered(NOW_MS)).isTrue();
   }
 
   @Test
   void unknownStartComparesIdOnly() {
-    list(instance(EngineInstance.BORN_UNKNOWN));
+    updateTable(instance(EngineInstance.BORN_UNKNOWN));
     EngineState known = table.find("e");
-    list(instance(EngineInstance.BORN_UNKNOWN));
+    updateTable(instance(EngineInstance.BORN_UNKNOWN));
     assertThat(table.find("e")).isSameAs(known);
     assertThat(instance(BORN_MS).isOtherLife(EngineInstance.BORN_UNKNOWN)).isFalse();
     assertThat(instance(BORN_MS).isOtherLife(BORN_MS + 1)).isTrue();
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
@@ -9,17 +9,17 @@
 class TestCrashCauseDetector {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
   private static final RequestFingerprint OTHER = new RequestFingerprint(2, "other");
-  private static final long LATER_MS = 61_000;
+  private static final long CRASHES_EXPIRED_MS = 61_000;
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
 
-  private void crashed(RequestFingerprint request, String... engines) {
+  private void addCrashes(RequestFingerprint request, String... engines) {
     for (String engine : engines) {
       detector.add(new EngineEnd(engine, request, false), 0);
     }
   }
 
-  private void crashedWhileResponding(RequestFingerprint request, String... engines) {
+  private void addCrashesWhileResponding(RequestFingerprint request, String... engines) {
     for (String engine : engines) {
       detector.add(new EngineEnd(engine, request, true), 0);
     }
@@ -27,22 +27,22 @@
 
   @Test
   void threeCrashesMakeACause() {
-    crashed(BAD, "a", "b");
+    addCrashes(BAD, "a", "b");
     assertThat(detector.causes(known -> false)).isEmpty();
-    crashed(BAD, "c");
+    addCrashes(BAD, "c");
     assertThat(detector.causes(known -> false)).containsExactly(BAD);
   }
 
   @Test
   void countsRepeatedCrashOnce() {
-    crashed(BAD, "a", "a", "a", "b");
+    addCrashes(BAD, "a", "a", "a", "b");
     assertThat(detector.causes(known -> false)).isEmpty();
   }
 
   @Test
   void concurrentRequestIsNoCause() {
-    crashed(OTHER, "a", "b", "c");
-    crashed(BAD, "a", "b", "c", "d");
+    addCrashes(OTHER, "a", "b", "c");
+    addCrashes(BAD, "a", "b", "c", "d");
     assertThat(detector.causes(known -> false)).containsExactly(BAD);
   }
 
@@ -52,57 +52,57 @@
    */
   @Test
   void clearsInnocentOnceCausesAreFound() {
-    crashed(OTHER, "a", "b", "c");
-    crashed(BAD, "a", "b");
+    addCrashes(OTHER, "a", "b", "c");
+    addCrashes(BAD, "a", "b");
     assertThat(detector.causes(known -> false)).containsExactly(OTHER);
-    crashed(BAD, "d", "e");
+    addCrashes(BAD, "d", "e");
     assertThat(detector.causes(OTHER::equals)).containsExactly(BAD);
     assertThat(detector.hasSufficientEvidence(OTHER)).isTrue();
   }
 
   @Test
   void tieFavorsQuarantinedRequest() {
-    crashed(BAD, "a", "b", "c");
-    crashed(OTHER, "a", "b", "c");
+    addCrashes(BAD, "a", "b", "c");
+    addCrashes(OTHER, "a", "b", "c");
     assertThat(detector.causes(OTHER::equals)).containsExactly(OTHER);
     assertThat(detector.causes(BAD::equals)).containsExactly(BAD);
   }
 
   @Test
   void unexplainedCrashesMakeSecondCause() {
-    crashed(BAD, "a", "b", "c", "d");
-    crashed(OTHER, "a", "e", "f", "g");
+    addCrashes(BAD, "a", "b", "c", "d");
+    addCrashes(OTHER, "a", "e", "f", "g");
     assertThat(detector.causes(known -> false)).containsExactly(BAD, OTHER);
   }
 
   @Test
   void startedResponseCountsHalf() {
-    crashedWhileResponding(OTHER, "a", "b", "c", "d", "e");
+    addCrashesWhileResponding(OTHER, "a", "b", "c", "d", "e");
     assertThat(detector.causes(known -> false)).isEmpty();
-    crashedWhileResponding(OTHER, "f");
+    addCrashesWhileResponding(OTHER, "f");
     assertThat(detector.causes(known -> false)).containsExactly(OTHER);
   }
 
   @Test
   void servedRequestIsCleared() {
-    crashed(BAD, "a", "b");
-    detector.clear(BAD);
-    crashed(BAD, "c");
+    addCrashes(BAD, "a", "b");
+    detector.remove(BAD);
+    addCrashes(BAD, "c");
     assertThat(detector.causes(known -> false)).isEmpty();
   }
 
   @Test
   void ignoresOldCrashes() {
-    crashed(BAD, "a", "b");
-    detector.expire(LATER_MS);
-    crashed(BAD, "c");
+    addCrashes(BAD, "a", "b");
+    detector.expire(CRASHES_EXPIRED_MS);
+    addCrashes(BAD, "c");
     assertThat(detector.causes(known -> false)).isEmpty();
   }
 
   @Test
   void evictsOldestRequests() {
     for (int number = 0; number < 10_000; number++) {
-      crashed(new RequestFingerprint(number, "request-" + number), "a");
+      addCrashes(new RequestFingerprint(number, "request-" + number), "a");
     }
     assertThat(detector.mayContain(0)).isFalse();
     assertThat(detector.mayContain(9_999)).isTrue();
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
@@ -15,19 +15,19 @@
  */
 class TestEvidenceExpiry {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
-  private static final long LATER_MS = 40_000;
+  private static final long LAST_CRASHES_MS = 40_000;
   private static final long FIRST_CRASHES_EXPIRED_MS = 61_000;
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
 
-  private void crashedWhileResponding(long atMs, List<String> engines) {
+  private void addCrashesWhileResponding(long atMs, List<String> engines) {
     engines.forEach(engine -> detector.add(new EngineEnd(engine, BAD, true), atMs));
   }
 
   @Test
   void expiredEvidenceDoesNotReleaseRequest() {
-    crashedWhileResponding(0, List.of("a", "b", "c"));
-    crashedWhileResponding(LATER_MS, List.of("d", "e", "f"));
+    addCrashesWhileResponding(0, List.of("a", "b", "c"));
+    addCrashesWhileResponding(LAST_CRASHES_MS, List.of("d", "e", "f"));
     assertThat(detector.causes(known -> false)).containsExactly(BAD);
     detector.expire(FIRST_CRASHES_EXPIRED_MS);
     boolean released =
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestQuarantineFalsePositives.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestQuarantineFalsePositives.java
@@ -47,7 +47,7 @@
   private int innocents;
   private int crashes;
 
-  private void start(long seed) {
+  private void reset(long seed) {
     random = new SplittableRandom(seed);
     detector.clear();
     engines.clear();
@@ -57,20 +57,20 @@
     crashes = 0;
     for (int engine = 0; engine < ENGINES; engine++) {
       engines.add(new ArrayList<>());
-      fill(engine);
+      fillEngine(engine);
     }
   }
 
-  private void fill(int engine) {
+  private void fillEngine(int engine) {
     while (engines.get(engine).size() < REQUESTS_PER_ENGINE) {
       engines.get(engine).add(new InnocentRequest(++innocents));
     }
   }
 
   /** Crashes an engine; its requests move to other engines. */
-  private void crash(int engine, boolean underBad) {
+  private void crash(int engine, boolean causedByBad) {
     String instance = engine + "@" + ++crashes;
-    if (underBad) {
+    if (causedByBad) {
       detector.add(new EngineEnd(instance, BAD, false), crashes);
     }
     List<InnocentRequest> interrupted = engines.set(engine, new ArrayList<>());
@@ -80,7 +80,7 @@
         engines.get(random.nextInt(ENGINES)).add(request);
       }
     }
-    fill(engine);
+    fillEngine(engine);
     List<RequestFingerprint> causes = detector.causes(quarantined::contains);
     quarantined.removeIf(
         request -> detector.hasSufficientEvidence(request) && !causes.contains(request));
@@ -89,28 +89,28 @@
   }
 
   /** Completes some requests between two crashes. */
-  private void serveSome() {
+  private void completeSomeRequests() {
     for (List<InnocentRequest> engine : engines) {
       engine.removeIf(
           request -> {
             boolean served = random.nextInt(3) == 0;
             if (served) {
-              detector.clear(request.fingerprint);
+              detector.remove(request.fingerprint);
             }
             return served;
           });
     }
     for (int engine = 0; engine < ENGINES; engine++) {
-      fill(engine);
+      fillEngine(engine);
     }
   }
 
   private Outcome run(long seed, int crashCount, int badPercent) {
-    start(seed);
+    reset(seed);
     for (int count = 0; count < crashCount; count++) {
-      boolean underBad = !quarantined.contains(BAD) && random.nextInt(100) < badPercent;
-      crash(random.nextInt(ENGINES), underBad);
-      serveSome();
+      boolean causedByBad = !quarantined.contains(BAD) && random.nextInt(100) < badPercent;
+      crash(random.nextInt(ENGINES), causedByBad);
+      completeSomeRequests();
     }
     boolean badFound = quarantined.contains(BAD);
     everQuarantined.remove(BAD);
@@ -120,32 +120,32 @@
   @Test
   void fewFalsePositivesWithoutCause() {
     long falsePositives = 0;
-    long all = 0;
+    long allInnocents = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Outcome outcome = run(seed, 60, 0);
       falsePositives += outcome.falsePositives();
-      all += outcome.innocents();
+      allInnocents += outcome.innocents();
     }
     System.out.printf(
-        "60 unrelated crashes: %d of %d innocent requests quarantined%n", falsePositives, all);
-    assertThat(falsePositives * 1_000).as("less than one in a thousand").isLessThan(all);
+        "60 unrelated crashes: %d of %d innocent requests quarantined%n", falsePositives, allInnocents);
+    assertThat(falsePositives * 1_000).as("less than one in a thousand").isLessThan(allInnocents);
   }
 
   @Test
   void findsCauseAmongOtherCrashes() {
     long falsePositives = 0;
-    long all = 0;
-    int found = 0;
+    long allInnocents = 0;
+    int runsWithCauseFound = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Outcome outcome = run(seed, 30, 50);
       falsePositives += outcome.falsePositives();
-      all += outcome.innocents();
-      found += outcome.badFound() ? 1 : 0;
+      allInnocents += outcome.innocents();
+      runsWithCauseFound += outcome.badFound() ? 1 : 0;
     }
     System.out.printf(
         "30 crashes, half from one request: found in %d of %d runs, %d of %d innocents quarantined%n",
-        found, RUNS, falsePositives, all);
-    assertThat(found).isEqualTo(RUNS);
-    assertThat(falsePositives * 1_000).as("less than one in a thousand").isLessThan(all);
+        runsWithCauseFound, RUNS, falsePositives, allInnocents);
+    assertThat(runsWithCauseFound).isEqualTo(RUNS);
+    assertThat(falsePositives * 1_000).as("less than one in a thousand").isLessThan(allInnocents);
   }
 }
