--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -23,27 +23,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to one engine instance.
+ * A connection to one engine instance; carries one call at a time.
  *
- * <p>An engine may send a second response to a call late, in place of the response to the next call
- * on the connection. Responses name the request but not the attempt. So a connection carries each
- * request only once, and accepts a response only if it names the request of the current call. An
- * error response that names no request may be a second response to a call without a request: it
- * fails the current call as one that may have run. A response that names another request is
- * skipped. Data that arrives without a call in progress is dropped. A connection that dropped
- * anything is not reused.
+ * <p>An engine may respond twice to a call, so that the second response arrives while the next call
+ * on the connection waits for its own. A response contains the id of its request, but does not
+ * identify the attempt. So a connection carries each request id only once, and accepts a response
+ * only if its request id is that of the current call. Other responses are dropped, and so is data
+ * that arrives without a call in progress. A dropped error response without a request id also fails
+ * the current call, whose request may have run. A connection that dropped anything is not reused.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog EVENTS = EventLog.of(EngineConnection.class);
   private static final String NO_VALUE = "";
 
-  /**
-   * Bounds the request ids kept by a connection to about 23 KB, at 90 bytes each; costs one new
-   * connection in 256 calls.
-   */
+  /** Bounds the memory for {@link #sentRequestIds} to about 23 KB, at 90 bytes per id. */
   private static final int MAX_REQUESTS_PER_CONNECTION = 256;
 
-  /** How much earlier than the engine this side stops using an idle connection. */
+  /** Idle connections are closed this long before the engine's own idle timeout. */
   private static final long IDLE_MARGIN_MS = 600;
 
   private enum ReadState {
@@ -88,7 +84,7 @@
     context = ctx;
   }
 
-  /** Whether {@code requestId} was not sent here before: responses do not tell attempts apart. */
+  /** Whether this connection has not carried {@code requestId} yet. */
   boolean canSend(String requestId) {
     return !sentRequestIds.contains(requestId);
   }
@@ -104,7 +100,7 @@
     requestWrite = context.channel().writeAndFlush(protocol.write(call.call()));
   }
 
-  /** Whether an idle connection may carry another call. */
+  /** Whether this idle connection is open and has been idle for less than the limit. */
   boolean isUsable(long nowNs, long limitMs) {
     long idleMs = TimeUnit.NANOSECONDS.toMillis(nowNs - idleSinceNs);
     long effectiveLimitMs = limitMs;
@@ -114,7 +110,7 @@
     return context.channel().isActive() && idleMs < effectiveLimitMs;
   }
 
-  /** Keeps a connection that was established after its call was canceled. */
+  /** Makes this new connection available to other calls, since its own call was canceled. */
   void keepUnused() {
     idleSinceNs = System.nanoTime();
     owner.addIdle(this);
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineFailure.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineFailure.java
@@ -6,13 +6,13 @@
   NOT_SENT,
   /** The engine's address refused the connection; the request was not sent. */
   CONNECTION_REFUSED,
-  /** The request is quarantined because engines crashed under it; it was not sent. */
+  /** The request is quarantined because engines crashed while processing it; it was not sent. */
   QUARANTINED,
-  /** A kept connection closed before any byte of a response; the request may have run. */
+  /** A reused connection closed before any byte of the response; the request may have run. */
   CLOSED_BEFORE_ANSWER,
   /** The connection closed before the response was complete; the request may have run. */
   CONNECTION_ENDED,
-  /** The response was invalid or the call was aborted; the request may have run. */
+  /** The response was invalid, or the caller aborted the call; the request may have run. */
   BROKEN;
 
   /** Whether the request certainly did not run. */
@@ -20,7 +20,7 @@
     return this == NOT_SENT || this == CONNECTION_REFUSED || this == QUARANTINED;
   }
 
-  /** Whether the engine may have gone down while it processed the request. */
+  /** Whether the connection was lost after the request was sent; the engine may be down. */
   public boolean isLostConnection() {
     return this == CLOSED_BEFORE_ANSWER || this == CONNECTION_ENDED;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineListener.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineListener.java
@@ -2,7 +2,10 @@
 
 import io.pathdeck.fleet.adapter.EngineResponse;
 
-/** Receives the events of one call on the event loop; nothing follows an end or a failure. */
+/**
+ * Receives the events of one call on the event loop; {@code onEnd} or {@code onFailure} is the
+ * last.
+ */
 public interface EngineListener {
   /** The head of the response arrived. */
   void onHead(EngineResponse response);
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLivenessProbe.java
@@ -21,22 +21,25 @@
  * <p>Resets, corrupt responses and network partitions also break connections to running engines, so
  * the probe requests the engine's load on another connection. The engine is down if its address
  * refuses connections and no other connection to it is open, if another engine responds there, or
- * if it reports a different start time. A timeout proves nothing.
+ * if it reports a different start time. A timeout leaves the result unknown.
  */
 public final class EngineLivenessProbe {
-  /** The result of a probe. */
+  /** Whether an engine instance is still running. */
   public enum Verdict {
+    /** The instance is down, or another one has replaced it. */
     ENDED,
+    /** The instance responded, or refused a connection while others to it are open. */
     ALIVE,
+    /** The probe timed out or failed without proof of either. */
     UNKNOWN
   }
 
   private static final int OK = 200;
 
-  /** Several round trips; a running engine responds within a few milliseconds. */
+  /** Limits all attempts together; a running engine responds within a few milliseconds. */
   private static final long TIMEOUT_MS = 500;
 
-  /** A kept connection may have closed with its engine and fail only when it is used. */
+  /** Attempts over idle connections may fail if the engine closed them in the meantime. */
   private static final int MAX_ATTEMPTS = 3;
 
   private final EventLoop eventLoop;
@@ -44,7 +47,7 @@
   private final EngineProtocol protocol;
   private final Map<String, List<Consumer<Verdict>>> pendingReceivers = new HashMap<>();
 
-  /** Creates a probe that calls engines over {@code transport}. */
+  /** Creates a probe that sends its requests over {@code transport}. */
   public EngineLivenessProbe(
       EventLoop eventLoop, NettyEngineTransport transport, EngineProtocol protocol) {
     this.eventLoop = eventLoop;
@@ -53,8 +56,8 @@
   }
 
   /**
-   * Reports to {@code receiver} whether an engine instance is down; concurrent checks of an
-   * instance share one probe.
+   * Passes the verdict on an engine instance to {@code receiver}; concurrent checks of an instance
+   * share one probe.
    */
   public void check(EngineInstance engine, Consumer<Verdict> receiver) {
     List<Consumer<Verdict>> receivers = pendingReceivers.get(engine.lifeId());
@@ -65,13 +68,13 @@
     receivers = new ArrayList<>();
     receivers.add(receiver);
     pendingReceivers.put(engine.lifeId(), receivers);
-    // Deferred until the closing of all connections to the engine has been processed.
+    // Lets the event loop first process the closing of the engine's other connections.
     eventLoop.execute(() -> new Probe(engine).send());
   }
 
   /**
-   * Whether an engine that just refused a connection is down. An engine at its connection limit
-   * refuses connections too, but then some are open.
+   * Whether an engine that just refused a connection counts as down: this process has no open
+   * connection to it. Otherwise the engine may only have reached its connection limit.
    */
   public boolean isDownAfterRefusal(EngineInstance engine) {
     return transport.openConnections(engine) == 0;
@@ -84,7 +87,7 @@
     }
   }
 
-  /** Requests the load of one engine; retries when the connection is lost. */
+  /** Requests the load of one engine; retries if the connection is lost. */
   private final class Probe implements EngineListener {
     private final EngineInstance engine;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadBalancer.java
@@ -10,13 +10,13 @@
  * Chooses the engine with the lowest cost for a request.
  *
  * <p>The cost is the sum of the engine's load, the prompt tokens that it has to prefill, recent
- * waits there, and a penalty for another zone. Each long shared prefix has an owner, found by
- * rendezvous hashing and thus the same for all processes, which probably has the prefix in its
- * cache. Any other engine would prefill the prefix again, so the owner is chosen until its load
- * outweighs that.
+ * waits for its first bytes, and a penalty for another zone. Each long shared prefix has an owner:
+ * the engine that rendezvous hashing selects, the same in all processes. The owner probably has the
+ * prefix in its cache, so it is chosen until its additional load costs more than prefilling the
+ * prefix elsewhere.
  *
- * <p>If the engines of a service report their pace, load and prompts are weighted by it: a slow
- * engine is chosen if it has less load, and before a fast one that is full.
+ * <p>If engines of the service report their pace, load and prompts are weighted by it, so a slow
+ * engine is chosen only when the fast ones have much more load.
  */
 public final class EngineLoadBalancer {
   /** Shorter shared prefixes have no owner. */
@@ -25,10 +25,10 @@
   /** Cost of an engine in another zone, as a share of its slots. */
   private static final double OTHER_ZONE_PENALTY = 0.3;
 
-  /** Tokens to prefill that cost as much as a full load. */
+  /** Number of tokens to prefill that costs as much as a full load. */
   private static final double TOKENS_PER_FULL_LOAD = 12_000;
 
-  /** Recent wait for the first bytes that costs as much as a full load. */
+  /** Recent wait for the first bytes, without prefill, that costs as much as a full load. */
   private static final double WAIT_MS_PER_FULL_LOAD = 600;
 
   private static final double JITTER = 0.02;
@@ -48,7 +48,7 @@
     return choose(candidates, ServicePace.of(candidates, nowMs), prompt, nowMs);
   }
 
-  /** Chooses among {@code candidates}, engines of a service with this {@code pace}. */
+  /** Chooses among {@code candidates}, weighted by the {@code pace} of their service. */
   public Optional<Placement> choose(
       List<EngineState> candidates, ServicePace pace, Prompt prompt, long nowMs) {
     Optional<EngineState> owner = prefixOwner(candidates, prompt);
@@ -71,9 +71,9 @@
   }
 
   /**
-   * Cost of load and prefill. If engines are uneven, it is weighted by pace and includes the
-   * request's own slot: otherwise a slow engine would cost as little as a fast one whenever both
-   * look idle, which is often, because most of their requests come from other processes.
+   * Cost of load and prefill. If the engines differ in pace, it is weighted by pace and includes
+   * the slot that the request itself will use. Without that slot, slow and fast engines would cost
+   * the same whenever they look idle to this process, because it does not see all their requests.
    */
   private static double workCost(
       EngineState engine, long prefillTokens, ServicePace pace, long nowMs) {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadClient.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineLoadClient.java
@@ -30,7 +30,7 @@
     this.listener = listener;
   }
 
-  /** Requests the load of one engine; the listener is not called if that fails. */
+  /** Requests the load of one engine; the listener is not called if the request fails. */
   public void fetch(EngineInstance engine) {
     transport.start(reportCall(protocol, engine), new ReportListener(engine.id()));
   }
@@ -80,7 +80,7 @@
 
     @Override
     public void onFailure(EngineFailure failure, String reason) {
-      // The last known load stays in use.
+      // The previous report stays in use.
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
@@ -1,31 +1,27 @@
 package io.pathdeck.fleet.engine;
 
 /**
- * Pace of one engine instance, that is how long work takes there, as seen by this process. Times
- * are in milliseconds; confined to one thread.
+ * Pace of one engine instance: how long the engine takes for its work, as observed by this process.
+ * Times are in milliseconds; confined to one thread.
  *
- * <p>Two measures are kept apart. The long-run pace is the time per stream event: it holds for the
- * lifetime of the instance, shows in each stream, and is bounded against single delayed streams.
- * The pace that the engine reports changes many times a second, so it counts only briefly and
- * relative to the average of this engine's reports.
+ * <p>There are two measures. The long-run pace is the average time per stream event; the effect of
+ * a single delayed stream is bounded. The pace that the engine reports changes many times a second,
+ * so each report counts only briefly, relative to the average of this engine's reports.
  */
 public final class EnginePace {
-  /** With fewer events, a sample shows the network rather than the engine. */
+  /** Shorter streams are ignored: their timing depends more on the network than on the engine. */
   private static final long MIN_EVENTS = 5;
 
-  /** Bounds each sample to this multiple or fraction of the current estimate. */
+  /** Limits each sample to between the estimate divided by this factor and multiplied by it. */
   private static final double MAX_CHANGE_FACTOR = 2;
 
-  /** Bounds the weight of past samples, so that newer ones displace older ones. */
+  /** Limits the weight of past samples, so that the average follows lasting changes. */
   private static final int MAX_SAMPLES = 8;
 
-  /**
-   * Half-life of the samples' weight, so that an engine that gets no work because it was slow is
-   * tried again.
-   */
+  /** The weight of samples decays, so that an engine avoided as slow is tried again. */
   private static final double SAMPLES_HALF_LIFE_MS = 30_000;
 
-  /** Short, since the reported pace changes many times a second. */
+  /** Half-life of a report's effect; the reported pace changes many times a second. */
   private static final double REPORT_HALF_LIFE_MS = 100;
 
   private static final double MIN_FACTOR = 0.5;
@@ -39,7 +35,7 @@
   private double lastReportedPercent;
   private long lastReportAtMs;
 
-  /** Adds a stream that delivered {@code events} events over {@code spanMs}. */
+  /** Adds a sample: a stream that delivered {@code events} events over {@code spanMs}. */
   public void onStream(long events, long spanMs, long nowMs) {
     if (events < MIN_EVENTS || spanMs <= 0) {
       return;
@@ -56,7 +52,7 @@
     lastSampleAtMs = nowMs;
   }
 
-  /** Adds a pace that the engine reported. */
+  /** Adds a pace that the engine reported; only its ratio to other reports is used. */
   public void onPaceReport(int pacePercent, long nowMs) {
     reportCount = Math.min(reportCount + 1, MAX_SAMPLES);
     averageReportedPercent += (pacePercent - averageReportedPercent) / reportCount;
@@ -73,7 +69,7 @@
     return sampleCount > 0;
   }
 
-  /** Average time per event of the sampled streams; 0 before the first one. */
+  /** Average time per event of the sampled streams; 0 before the first sample. */
   public double msPerEvent() {
     return msPerEvent;
   }
@@ -83,12 +79,16 @@
     return sampleCount * Math.pow(0.5, (nowMs - lastSampleAtMs) / SAMPLES_HALF_LIFE_MS);
   }
 
-  /** Current duration of work as a multiple of this engine's average; 1 if not reported. */
+  /**
+   * Latest report relative to the average of this engine's reports; decays to 1, and is 1 without
+   * reports.
+   */
   double currentFactor(long nowMs) {
     if (reportCount == 0) {
       return 1;
     }
-    double factor = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, lastReportedPercent / averageReportedPercent));
+    double factor =
+        Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, lastReportedPercent / averageReportedPercent));
     return 1 + (factor - 1) * Math.pow(0.5, (nowMs - lastReportAtMs) / REPORT_HALF_LIFE_MS);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
@@ -5,15 +5,15 @@
 import java.nio.charset.StandardCharsets;
 import net.openhft.hashing.LongHashFunction;
 
-/** What this process knows of one engine instance; confined to one thread. */
+/** State and load of one engine instance as known to this process; confined to one thread. */
 public final class EngineState {
   private static final long FIRST_EJECTION_MS = 500;
   private static final long MAX_EJECTION_MS = 4_000;
 
   /**
-   * How long an engine that is down gets no calls, even if no other engine is left: the engine list
-   * shows failure and restart some seconds late, and a request is rejected after several refused
-   * connections.
+   * How long an engine that is down gets no calls, even if no other engine is left. Without the
+   * pause, a request would use up its attempts on refused connections before the engine list shows
+   * the failure. It is short because the list may also show a restart late.
    */
   private static final long DOWN_PAUSE_MS = 1_000;
 
@@ -49,22 +49,22 @@
     instance = listed;
   }
 
-  /** The engine as listed. */
+  /** The engine's latest entry in the engine list. */
   public EngineInstance instance() {
     return instance;
   }
 
-  /** Short id of this engine instance, the same in all processes. */
+  /** Hash of the instance's id, the same in all processes. */
   public long instanceHash() {
     return instanceHash;
   }
 
-  /** Number of calls of this process in progress. */
+  /** Number of this process's calls in progress. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** A call was sent. */
+  /** Counts a call that was sent. */
   public void onStart(long nowMs) {
     if (inFlight == 0) {
       lastReceivedMs = Math.max(lastReceivedMs, nowMs);
@@ -73,27 +73,27 @@
     lastStartMs = nowMs;
   }
 
-  /** A call ended, successfully or not. */
+  /** Removes a call that ended, successfully or not. */
   public void onEnd() {
     inFlight--;
   }
 
-  /** A call was sent whose prompt the engine still has to prefill. */
+  /** Adds the prompt of a call that was sent; the engine has yet to prefill it. */
   public void onPromptSent(long promptTokens) {
     pendingPrefillTokens += promptTokens;
   }
 
-  /** A call received its first bytes, or ended without any. */
+  /** Removes the prompt of a call that received its first bytes, or ended without any. */
   public void onPrefillDone(long promptTokens) {
     pendingPrefillTokens -= promptTokens;
   }
 
-  /** Prompt tokens of this process that the engine has probably not prefilled yet. */
+  /** Number of prompt tokens sent by this process that await prefill, by estimate. */
   public long pendingPrefillTokens() {
     return pendingPrefillTokens;
   }
 
-  /** Data arrived from the engine. */
+  /** Records that data arrived, which also resets the backoff after failures. */
   public void onDataReceived(long nowMs) {
     lastReceivedMs = nowMs;
     consecutiveFailures = 0;
@@ -104,19 +104,19 @@
     return inFlight == 0 ? 0 : nowMs - lastReceivedMs;
   }
 
-  /** The first bytes of a call arrived {@code waitMs} later than prefill alone takes. */
+  /** Records how long a call waited for its first bytes, not counting the time for prefill. */
   public void onFirstBytes(long waitMs, long nowMs) {
     double previousWaitMs = recentWaitMs(nowMs);
     recentWaitMs = previousWaitMs + (waitMs - previousWaitMs) * NEW_WAIT_WEIGHT;
     waitUpdatedAtMs = nowMs;
   }
 
-  /** Average recent wait for the first bytes; decays with time. */
+  /** Average recent wait for the first bytes, without prefill; decays with time. */
   public double recentWaitMs(long nowMs) {
     return recentWaitMs * Math.pow(0.5, (nowMs - waitUpdatedAtMs) / WAIT_HALF_LIFE_MS);
   }
 
-  /** The engine reported its load. */
+  /** Updates the number of calls from other processes, and the pace if it is reported. */
   public void onLoadReport(EngineLoadReport report, long nowMs) {
     int knownCalls = inFlight + peerCalls;
     otherCallsAtReport = Math.max(0, report.running() + report.waiting() - knownCalls);
@@ -126,12 +126,12 @@
     }
   }
 
-  /** How long work takes at the engine. */
+  /** The engine's pace as observed and reported. */
   public EnginePace pace() {
     return pace;
   }
 
-  /** Peers reported how many of their calls are in progress at this engine. */
+  /** Sets the number of calls in progress that peers reported for this engine. */
   public void onPeerCalls(int calls) {
     peerCalls = calls;
   }
@@ -146,41 +146,41 @@
     return pace.isReported();
   }
 
-  /** A call failed because of the engine; ejects it with exponential backoff. */
+  /** Ejects the engine after it failed a call, with exponential backoff. */
   public void onFailure(long nowMs) {
     consecutiveFailures++;
     long shift = Math.min(consecutiveFailures - 1, 3);
     ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << shift);
   }
 
-  /** The engine rejected a call because it is full. */
+  /** Ejects the engine for {@code ejectionMs} after it rejected a call because it is full. */
   public void onFull(long nowMs, long ejectionMs) {
     ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + ejectionMs);
   }
 
-  /** The engine is no longer listed, or another engine has its address. */
+  /** Stops all calls: the instance was removed from the list, or another one has its address. */
   public void onRemoved() {
     removed = true;
   }
 
-  /** This engine instance is down. */
+  /** Stops all calls to the instance for a short time, because it is down. */
   public void onDown(long nowMs) {
     downUntilMs = nowMs + DOWN_PAUSE_MS;
   }
 
-  /** Whether new calls may be sent. */
+  /** Whether the engine is in service and not ejected. */
   public boolean isUsable(long nowMs) {
     return !isOutOfService(nowMs) && nowMs >= ejectedUntilMs;
   }
 
-  /** Whether no calls may be sent, even if no other engine is left. */
+  /** Whether the engine must get no calls, even if no other engine is left. */
   public boolean isOutOfService(long nowMs) {
     return removed || instance.draining() || nowMs < downUntilMs;
   }
 
   /**
-   * Estimated number of requests at the engine: those of this process, those that peers reported,
-   * and the others in the latest load report, weighted by its age.
+   * Estimated number of calls in progress: the sum of this process's calls, the calls that peers
+   * reported, and the remaining calls in the latest load report, weighted by its age.
    */
   public double estimatedLoad(long nowMs) {
     double age = nowMs - reportedAtMs;
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
@@ -22,7 +22,7 @@
     this.reportHalfLifeMs = reportHalfLifeMs;
   }
 
-  /** Applies the list of engines; an engine that is no longer listed gets no new calls. */
+  /** Applies the list of engines; engines missing from it get no new calls. */
   public void update(Map<String, EngineInstance> listed) {
     engines
         .entrySet()
@@ -37,9 +37,7 @@
     listed.forEach(this::update);
   }
 
-  /**
-   * Replaces the state of a restarted engine, since nothing known of the earlier instance holds.
-   */
+  /** Adds or updates an engine; the state of an earlier instance is discarded. */
   private void update(String id, EngineInstance instance) {
     EngineState known = engines.get(id);
     if (known != null && known.instance().lifeId().equals(instance.lifeId())) {
@@ -70,7 +68,7 @@
     return false;
   }
 
-  /** All engines. */
+  /** The engines of all services. */
   public Collection<EngineState> all() {
     return engines.values();
   }
@@ -80,7 +78,7 @@
     return engines.get(id);
   }
 
-  /** Pace of a service from all its engines, including those that may not get a call. */
+  /** Computes the pace of a service from all its engines, including unusable ones. */
   public ServicePace pace(String service, long nowMs) {
     List<EngineState> ofService = new ArrayList<>();
     for (EngineState engine : engines.values()) {
@@ -91,7 +89,7 @@
     return ServicePace.of(ofService, nowMs);
   }
 
-  /** The engines of a service that may get a call and are not in {@code excluded}. */
+  /** The usable engines of a service, without the ids in {@code excluded}. */
   public List<EngineState> usable(String service, Set<String> excluded, long nowMs) {
     List<EngineState> usable = new ArrayList<>();
     for (EngineState engine : engines.values()) {
@@ -105,8 +103,8 @@
   }
 
   /**
-   * The engines of a service that are in service and not in {@code excluded}, including those
-   * ejected after failures.
+   * The engines of a service that are not out of service, without the ids in {@code excluded};
+   * unlike {@link #usable}, this includes ejected engines.
    */
   public List<EngineState> inService(String service, Set<String> excluded, long nowMs) {
     List<EngineState> inService = new ArrayList<>();
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTransport.java
@@ -13,13 +13,16 @@
      */
     void cancel();
 
-    /** Stops reading the response; the caller must bound the pause, since engines time out. */
+    /**
+     * Stops reading the response. The caller must resume within seconds, because engines abort
+     * responses that they cannot write.
+     */
     default void pauseReading() {}
 
-    /** Resumes reading the response. */
+    /** Resumes reading the response; no effect if it is not paused or the call is done. */
     default void resumeReading() {}
   }
 
-  /** Starts a call; must run on the event loop. */
+  /** Starts a call; must be called on the event loop. */
   Handle start(EngineCall call, EngineListener listener);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/IdleTimeouts.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * How long idle connections to the engines of a service may be reused, learned from the connections
- * that engines closed. A request sent while the engine closes the connection may be lost.
+ * Limits how long connections to the engines of a service may stay idle before reuse. The limit is
+ * derived from the shortest time after which an engine closed an idle connection, because a request
+ * sent while the engine closes its connection may be lost.
  */
 final class IdleTimeouts {
   private static final long DEFAULT_LIMIT_MS = 4_000;
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/NettyEngineTransport.java
@@ -26,8 +26,8 @@
 /**
  * Calls engines over persistent HTTP/1.1 connections; confined to one event loop.
  *
- * <p>A connection belongs to one engine instance and carries one call at a time. It is kept only
- * after a complete response, and reused only well within the engine's idle timeout.
+ * <p>A connection belongs to one engine instance and carries one call at a time. It can be reused
+ * after a complete response, until shortly before the engine's idle timeout.
  */
 public final class NettyEngineTransport implements EngineTransport {
   private static final int CONNECT_TIMEOUT_MS = 400;
@@ -147,14 +147,14 @@
     return openConnectionCounts.getOrDefault(engine.lifeId(), 0);
   }
 
-  /** Keeps a connection for reuse. */
+  /** Makes a connection available for reuse. */
   void addIdle(EngineConnection connection) {
     idleConnections
         .computeIfAbsent(connection.lifeId(), key -> new ArrayDeque<>())
         .addFirst(connection);
   }
 
-  /** Removes an idle connection that this side closes. */
+  /** Removes a connection from the idle ones; the caller closes it. */
   void removeIdle(EngineConnection connection) {
     Deque<EngineConnection> connections = idleConnections.get(connection.lifeId());
     if (connections != null) {
@@ -162,7 +162,7 @@
     }
   }
 
-  /** The engine closed an idle connection that was unused for {@code idleMs}. */
+  /** Removes a connection that the engine closed after {@code idleMs} without a call. */
   void onIdleClosed(EngineConnection connection, String service, long idleMs) {
     Deque<EngineConnection> connections = idleConnections.get(connection.lifeId());
     if (connections != null && connections.remove(connection)) {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/Prompt.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/Prompt.java
@@ -7,15 +7,15 @@
  * Length of a prompt and of the prefix that it may share with other prompts.
  *
  * @param tokens number of tokens of the whole prompt; 0 if unknown
- * @param sharedPrefixId id of the last part that other prompts may share; it identifies the whole
- *     prefix up to that part and is empty if nothing is shared
- * @param sharedPrefixTokens number of tokens of that prefix
+ * @param sharedPrefixId id of the shared prefix, which is the id of its last part; empty if there
+ *     is no shared prefix
+ * @param sharedPrefixTokens number of tokens of the shared prefix
  */
 public record Prompt(long tokens, String sharedPrefixId, long sharedPrefixTokens) {
   /** A prompt of unknown length without a shared prefix. */
   public static final Prompt UNKNOWN = new Prompt(0, "", 0);
 
-  /** Creates a prompt from its parts in order; the last part is specific to the request. */
+  /** Creates a prompt from its parts in order; all but the last one are the shared prefix. */
   public static Prompt of(long tokens, List<PromptPart> parts) {
     if (parts.size() < 2) {
       return new Prompt(tokens, "", 0);
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/ServicePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/ServicePace.java
@@ -3,17 +3,18 @@
 import java.util.Collection;
 
 /**
- * Relative pace of the engines of one service: how long work takes at each engine compared with the
- * median of the engines whose streams this process has seen.
+ * Relative pace of the engines of one service: how long each engine takes for its work, compared
+ * with the median of the engines whose streams this process has sampled.
  *
- * <p>An engine without samples counts as a median one, and one with few samples lies in between. If
- * no engine reports its pace, all count as equal.
+ * <p>An engine without samples has the median pace, and with few samples the estimate is drawn
+ * towards the median. Engines count as equal unless some engine of the service reports its pace, as
+ * engines that share a machine do (see {@link EngineState#reportsPace}).
  */
 public final class ServicePace {
   /** Treats all engines as equal. */
   public static final ServicePace EQUAL = new ServicePace(0, 0);
 
-  /** Relative pace from which an engine counts as slow. */
+  /** An engine whose relative pace is at least this high is slow. */
   private static final double SLOW_THRESHOLD = 1.5;
 
   /** Weight, in streams, of the prior assumption that an engine has the median pace. */
@@ -45,7 +46,7 @@
     return sorted.length == 0 ? EQUAL : new ServicePace(sorted[(sorted.length - 1) / 2], nowMs);
   }
 
-  /** Whether engines may differ in pace; false for {@link #EQUAL}. */
+  /** Whether the engines may differ in pace; false for {@link #EQUAL}. */
   public boolean isUneven() {
     return medianMsPerEvent > 0;
   }
@@ -62,12 +63,12 @@
     return Math.max(MIN_RELATIVE_PACE, Math.min(MAX_RELATIVE_PACE, estimate));
   }
 
-  /** Relative pace adjusted by the latest report of the engine. */
+  /** Relative pace multiplied by the current factor of the engine's reports. */
   public double currentRelativePace(EngineState engine) {
     return isUneven() ? relativePace(engine) * engine.pace().currentFactor(nowMs) : 1;
   }
 
-  /** Whether online requests avoid the engine because of its pace. */
+  /** Whether the relative pace of the engine reaches the threshold for slow engines. */
   public boolean isSlow(EngineState engine) {
     return relativePace(engine) >= SLOW_THRESHOLD;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
@@ -22,14 +22,16 @@
   private String problem;
 
   /**
-   * Creates a scanner that resumes after event {@code resumeAfter}; -1 if the first id is unknown.
+   * Creates a scanner.
+   *
+   * @param resumeAfterId id of the event before the first one; -1 to accept any first id
    */
   public SseEventScanner(long resumeAfterId) {
     this.lastId = resumeAfterId;
     this.hasLastId = resumeAfterId >= 0;
   }
 
-  /** Adds bytes and returns the events that they complete. */
+  /** Adds bytes and returns the events that they complete, up to the first invalid one. */
   public byte[] feed(byte[] bytes) {
     append(bytes);
     int start = 0;
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
@@ -1,8 +1,8 @@
 package io.pathdeck.fleet.engine;
 
 /**
- * Times of the events of one stream, as a measure of the engine's pace. The time to the first event
- * is left out, because it includes queueing and prefill. Confined to one thread.
+ * Measures the time that an engine takes for the events of one stream. The time before the first
+ * event is not counted, because it includes queueing and prefill. Confined to one thread.
  */
 public final class StreamTiming {
   private long firstEventId = -1;
@@ -10,7 +10,7 @@
   private long lastEventId = -1;
   private long lastEventAtMs;
 
-  /** Records that the stream has reached {@code event}. */
+  /** Records the arrival of an event. */
   public void onEvent(long eventId, long nowMs) {
     if (firstEventId < 0) {
       firstEventId = eventId;
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/TrafficSplit.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/TrafficSplit.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Splits the requests of a route among its services by smooth weighted round-robin: each target
- * gains credit in proportion to its weight, and the one with the most credit is chosen.
+ * Splits the requests of a route among its services by smooth weighted round-robin: with each
+ * request, every target gains credit in proportion to its weight, and the target with the most
+ * credit is chosen and loses one credit.
  */
 public final class TrafficSplit {
   private final Map<String, double[]> creditsByRoute = new HashMap<>();
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
@@ -14,36 +14,36 @@
 import java.util.function.Predicate;
 
 /**
- * Finds the requests that crash engines, given the requests in progress at each crash. Callers pass
- * the time.
+ * Finds the requests that crash engines, given the requests in progress at each crash.
  *
- * <p>At most one of the requests in progress at a crash is its cause. A request counts as a cause
- * when {@value #SUFFICIENT_CRASHES} engine instances crashed under it without being explained by
- * another cause. The request with the most crashes is found first, and its crashes then count
- * against no other request: so a request that repeatedly ran beside a cause stays clear, and one
- * blamed by mistake is cleared when more is known. A crash counts half for a request whose response
- * had begun, since a request that crashes engines when they begin to run it gets no response. A
- * request that completes is cleared.
+ * <p>Each crash has at most one cause among the requests in progress. A request counts as a cause
+ * when {@value #SUFFICIENT_CRASHES} engine instances crashed while processing it and no other cause
+ * explains these crashes. The detector selects the request with the most crashes first and then
+ * ignores its crashes for all other requests. So a request that only runs concurrently with a cause
+ * is not selected, and a request selected by mistake is dropped once the actual cause is known.
+ *
+ * <p>A crash counts half for a request whose response had started, because most causes crash the
+ * engine before it responds. A request that completes is not a cause, and the caller removes it.
  */
 public final class CrashCauseDetector {
-  /** Engines also crash one by one for other reasons, but seldom three times under one request. */
+  /** Unrelated crashes rarely hit the same request this often. */
   static final int SUFFICIENT_CRASHES = 3;
 
   private static final double RESPONSE_STARTED_WEIGHT = 0.5;
 
-  /** Longer than callers retry a request after an engine has come back. */
+  /** Crashes expire after this time, which is longer than callers retry a request. */
   private static final long EVIDENCE_TTL_MS = 60_000;
 
-  /** About 300 bytes each; the oldest are evicted when many engines crash under many requests. */
+  /** Bounds memory, at about 300 bytes per request; the oldest requests are evicted first. */
   private static final int MAX_REQUESTS = 2_048;
 
-  /** A crash as it counts against one request. */
+  /** How much a crash counts against a request, and when it was added. */
   private record Evidence(double weight, long atMs) {}
 
   private final Map<RequestFingerprint, Map<String, Evidence>> crashesByRequest =
       new LinkedHashMap<>();
 
-  /** Adds a crash; a repeated report of it is ignored. */
+  /** Adds a crash of an engine instance for one request; ignored if already known. */
   public void add(EngineEnd crash, long nowMs) {
     double weight = crash.answerBegan() ? RESPONSE_STARTED_WEIGHT : 1;
     crashesByRequest
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Removes a request that completed. */
+  /** Removes a completed request and its crashes. */
   public void remove(RequestFingerprint request) {
     crashesByRequest.remove(request);
   }
@@ -66,7 +66,7 @@
     crashesByRequest.clear();
   }
 
-  /** Removes crashes that are older than the window. */
+  /** Removes the crashes that were added too long ago. */
   public void expire(long nowMs) {
     crashesByRequest
         .values()
@@ -78,12 +78,12 @@
     return nowMs - crash.atMs() > EVIDENCE_TTL_MS;
   }
 
-  /** Whether an engine recently crashed under any request with this outline. */
+  /** Whether there are crashes for any request with this outline. */
   boolean mayContain(int outline) {
     return crashesByRequest.keySet().stream().anyMatch(request -> request.outline() == outline);
   }
 
-  /** Whether an engine recently crashed under this request. */
+  /** Whether there are crashes for this request. */
   boolean contains(RequestFingerprint request) {
     return crashesByRequest.containsKey(request);
   }
@@ -93,9 +93,9 @@
   }
 
   /**
-   * Whether the known crashes under a request would make it a cause if nothing else explained them.
-   * If they would not, for example after some have expired, its absence from {@link #causes} does
-   * not mean that another request explains them.
+   * Whether the request would be a cause if no other request explained its crashes. If false, for
+   * example after some crashes have expired, its absence from {@link #causes} is no evidence that
+   * another request is the cause.
    */
   public boolean hasSufficientEvidence(RequestFingerprint request) {
     boolean known = crashesByRequest.containsKey(request);
@@ -103,10 +103,10 @@
   }
 
   /**
-   * Finds the requests that crash engines, by all that is known now. A request that was a cause
-   * before may be missing once the real cause is known.
+   * Finds the requests that crash engines. A request found before may be missing once the actual
+   * cause is known.
    *
-   * @param isQuarantined whether a request was a cause before; it wins a tie
+   * @param isQuarantined whether a request is already quarantined; such a request wins a tie
    */
   public List<RequestFingerprint> causes(Predicate<RequestFingerprint> isQuarantined) {
     List<RequestFingerprint> candidates = new ArrayList<>();
@@ -128,7 +128,7 @@
     return causes;
   }
 
-  /** The request with the most unexplained crashes; empty if none has enough of them. */
+  /** The candidate with the most unexplained crashes; empty if none has enough to be a cause. */
   private Optional<RequestFingerprint> strongestCandidate(
       List<RequestFingerprint> candidates,
       Set<String> explainedCrashes,
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
@@ -21,20 +21,18 @@
  * Reports to the leading coordinator which requests were in progress when engines crashed; confined
  * to the event loop.
  *
- * <p>A notice is sent until a leader accepts it. Leaders do not replicate what they collect, so a
- * new leader is sent all recent crashes again.
+ * <p>A report is retried until a leader accepts it. Leaders do not replicate reported crashes, so
+ * all recent crashes are sent again to a new leader.
  */
 public final class EngineCrashReporter {
-  /**
-   * Batches the requests that one crash interrupts: they are noticed within a millisecond or two.
-   */
+  /** Lets one report cover all requests that a crash interrupted: they fail within milliseconds. */
   private static final long BATCH_DELAY_MS = 10;
 
   private static final long RETRY_PAUSE_MS = 200;
   private static final long CALL_TIMEOUT_MS = 900;
   private static final long ATTEMPT_TIMEOUT_MS = 300;
 
-  /** Bounds the crashes that are sent again to a new leader; about 200 bytes each. */
+  /** Bounds the memory for crashes to send again to a new leader, at about 200 bytes each. */
   private static final int MAX_RECENT_CRASHES = 512;
 
   private final EventLoop eventLoop;
@@ -48,9 +46,13 @@
   /**
    * Creates a reporter.
    *
-   * @param onAccepted runs when a leader has accepted a notice, to fetch what follows from it
+   * @param eventLoop runs the methods, timers and {@code onAccepted}
+   * @param coordinatorClient sends messages to the leading coordinator
+   * @param onAccepted run after the leader accepted a report, for example to fetch the updated
+   *     quarantine list
    */
-  public EngineCrashReporter(EventLoop eventLoop, GroupClient coordinatorClient, Runnable onAccepted) {
+  public EngineCrashReporter(
+      EventLoop eventLoop, GroupClient coordinatorClient, Runnable onAccepted) {
     this.eventLoop = eventLoop;
     this.coordinatorClient = coordinatorClient;
     this.onAccepted = onAccepted;
@@ -72,7 +74,7 @@
     sendAfter(BATCH_DELAY_MS);
   }
 
-  /** Another coordinator leads, which knows nothing of earlier crashes. */
+  /** Sends the recent crashes again, because a new leader does not know them. */
   public void onNewLeader() {
     unreportedCrashes.addAll(recentCrashes);
     if (!unreportedCrashes.isEmpty()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/InterruptedRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/InterruptedRequest.java
@@ -5,6 +5,7 @@
 /**
  * A request that was in progress at an engine when the connection was lost.
  *
- * @param responseStarted whether its response had begun
+ * @param call the call that carried the request
+ * @param responseStarted whether the head of the response had arrived
  */
 public record InterruptedRequest(EngineCall call, boolean responseStarted) {}
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
@@ -24,9 +24,10 @@
 /**
  * Transport for all requests and batch items of a process; confined to the event loop.
  *
- * <p>It detects under which requests engines crash, and does not send requests that are known to
- * crash engines. First attempts, retries, resumptions and items all pass here, so callers need not
- * check. Requests are recognized by their content, since each attempt has another id.
+ * <p>It records the requests that were in progress when an engine crashed, and fails quarantined
+ * requests instead of sending them. All attempts go through this transport, so callers need no
+ * check of their own. Requests are identified by their content, because the id changes with each
+ * attempt.
  */
 public final class QuarantiningTransport implements EngineTransport {
   private static final EventLog EVENTS = EventLog.of(QuarantiningTransport.class);
@@ -42,10 +43,13 @@
   private final Map<String, List<InterruptedRequest>> interruptedByInstance = new HashMap<>();
 
   /**
-   * Creates a transport that sends calls over {@code transport}.
+   * Creates a transport.
    *
-   * @param eventLoop the thread of all calls
-   * @param onEngineDown called for each engine that is down, whenever that is noticed
+   * @param transport sends the calls
+   * @param livenessProbe checks engines after lost connections
+   * @param reporter reports crashes and completed requests to the leading coordinator
+   * @param eventLoop runs all calls and callbacks
+   * @param onEngineDown called each time an engine is found down
    */
   public QuarantiningTransport(
       EngineTransport transport,
@@ -64,7 +68,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Applies the list of requests that the fleet has quarantined. */
+  /** Applies the quarantine list of the leading coordinator. */
   public void updateQuarantine(QuarantineList list) {
     quarantine.update(list);
   }
@@ -134,7 +138,7 @@
         crash.answerBegan());
   }
 
-  /** A request that completes does not crash engines. */
+  /** Removes the crashes of a request that completed, since it does not crash engines. */
   private void onServed(EngineCall call) {
     if (localDetector.isEmpty() || !localDetector.mayContain(RequestFingerprints.outline(call))) {
       return;
@@ -146,7 +150,7 @@
     }
   }
 
-  /** Passes on the events of a call, and handles the loss of its connection. */
+  /** Forwards the events of a call to its listener; handles completion and lost connections. */
   private final class ObservingListener implements EngineListener {
     private static final int MIN_SUCCESS_STATUS = 200;
     private static final int MIN_REDIRECT_STATUS = 300;
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestFingerprints.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestFingerprints.java
@@ -11,8 +11,8 @@
 import net.openhft.hashing.LongTupleHashFunction;
 
 /**
- * Computes fingerprints that are the same for all attempts of a request. Headers are left out: ids,
- * deadlines and the last received event differ between attempts.
+ * Computes fingerprints that are the same for all attempts of a request. They do not cover headers,
+ * because ids, deadlines and the last received event differ between attempts.
  */
 public final class RequestFingerprints {
   private static final String ALGORITHM = "SHA-256";
@@ -21,7 +21,7 @@
 
   private RequestFingerprints() {}
 
-  /** The cheap part of the fingerprint, which does not read the body. */
+  /** Hash of method, URI and body length; cheap, because it does not read the body. */
   public static int outline(EngineCall call) {
     int hash = call.method().hashCode();
     hash = HASH_MULTIPLIER * hash + call.uri().hashCode();
@@ -31,9 +31,9 @@
   /**
    * The fingerprint of the request that {@code call} carries.
    *
-   * <p>The body enters as a fast hash, since SHA-256 over a body of some megabytes would block the
-   * event loop for tens of milliseconds. That hash can be forged, but only to match another body:
-   * tenant and path enter the digest directly.
+   * <p>The digest covers a fast hash of the body, because SHA-256 over several megabytes would
+   * block the event loop for tens of milliseconds. The fast hash allows deliberate collisions of
+   * bodies, but only within a tenant and path, which the digest covers directly.
    */
   public static RequestFingerprint fingerprint(EngineCall call) {
     MessageDigest digest = newDigest();
@@ -59,7 +59,7 @@
     return call.tenant() instanceof EngineTenant.Named named ? named.name() : "";
   }
 
-  /** Adds a part after its length, so that different lists of parts never give the same bytes. */
+  /** Adds a part after its length, so that different parts never concatenate to equal bytes. */
   private static void add(MessageDigest digest, byte[] part) {
     digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, part.length));
     digest.update(part);
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
@@ -10,11 +10,12 @@
 /**
  * The quarantined requests known to this process; confined to the event loop.
  *
- * <p>The leading coordinator decides, since all processes report crashes to it. A request that only
- * this process has found is quarantined until the leader's decision can be expected.
+ * <p>The leading coordinator receives the crashes from all processes and decides on the quarantine.
+ * Until its next list arrives, or a time limit passes, this process also quarantines the crash
+ * causes that it identified itself.
  */
 final class RequestQuarantine {
-  /** Time for several leader elections, which take 0.6 to 1.2 s each. */
+  /** How long causes that only this process knows stay quarantined; outlasts several elections. */
   private static final long LOCAL_QUARANTINE_MS = 10_000;
 
   private final Set<Integer> outlines = new HashSet<>();
@@ -23,7 +24,7 @@
   private long version = QuarantineList.NONE.version();
   private long localExpiryMs;
 
-  /** Applies the list of the leading coordinator. */
+  /** Replaces all quarantined requests by the list of the leading coordinator. */
   void update(QuarantineList list) {
     if (list.version() == version) {
       return;
@@ -35,7 +36,7 @@
     rebuildOutlines();
   }
 
-  /** Adds requests that this process has found. */
+  /** Quarantines crash causes that this process identified itself. */
   void addLocal(Collection<RequestFingerprint> causes, long nowMs) {
     if (localRequests.addAll(causes)) {
       localExpiryMs = nowMs + LOCAL_QUARANTINE_MS;
@@ -59,6 +60,7 @@
       return false;
     }
     RequestFingerprint request = RequestFingerprints.fingerprint(call);
-    return confirmedRequests.contains(request) || (nowMs < localExpiryMs && localRequests.contains(request));
+    return confirmedRequests.contains(request)
+        || (nowMs < localExpiryMs && localRequests.contains(request));
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
@@ -14,8 +14,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Simulates streams on fast and slow engines, chosen by gateways that each know only what their own
- * calls report; times are in milliseconds.
+ * Simulates streams on fast and slow engines; each gateway chooses engines by the responses to its
+ * own calls only. Times are in milliseconds.
  */
 final class HeterogeneousEnginesSimulation {
   private static final int GATEWAYS = 25;
@@ -36,7 +36,7 @@
   private static final Prompt PROMPT = new Prompt(450, "shared", 200);
   private static final List<String> ZONES = List.of("a", "b", "c");
 
-  /** Request counts of a run. */
+  /** Numbers of requests; a late one got its first event after the latency target. */
   record Result(int served, int late, int servedBySlow, int lateAtSlow) {
     double lateShare() {
       return late / (double) served;
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineLoadBalancer.java
@@ -216,16 +216,20 @@
   }
 
   /**
-   * 62 engines, 22 of them 2.8 times slower, and 25 gateways; peaks come near the total capacity.
+   * Reported pace must reduce late requests when peaks come near the total capacity of fast and
+   * slow engines.
    */
   @Test
   void fewLateRequestsAtPeaks() {
     HeterogeneousEnginesSimulation.Result withoutReports =
         new HeterogeneousEnginesSimulation(1, false).run();
-    HeterogeneousEnginesSimulation.Result withReports = new HeterogeneousEnginesSimulation(1, true).run();
+    HeterogeneousEnginesSimulation.Result withReports =
+        new HeterogeneousEnginesSimulation(1, true).run();
     assertThat(withoutReports.lateShare()).isGreaterThan(0.04);
     assertThat(withReports.lateShare()).isLessThan(0.02);
-    assertThat(withReports.servedBySlow()).as("slow engines are used").isGreaterThan(withReports.served() / 20);
+    assertThat(withReports.servedBySlow())
+        .as("slow engines are used")
+        .isGreaterThan(withReports.served() / 20);
     assertThat(withReports.lateAtSlow()).isLessThan(withoutReports.lateAtSlow() / 4);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineRestart.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/TestEngineRestart.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** An engine that goes down and restarts under the same id and address. */
+/** Tests an engine that goes down and restarts with the same id and address. */
 class TestEngineRestart {
   private static final long NOW_MS = 10_000;
   private static final long BORN_MS = 1_700_000_000_000L;
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Two requests crash engines, and an innocent one ran beside both before either had three
-   * crashes.
+   * {@code OTHER} was in progress at two crashes caused by {@code BAD} and at an unrelated one. It
+   * is selected by mistake until further crashes caused by {@code BAD} are known.
    */
   @Test
   void clearsInnocentOnceCausesAreFound() {
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
@@ -8,10 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The expiry of some crashes must not release a quarantined request.
- *
- * <p>Guards against releasing a request whose remaining crashes are too few to make it a cause,
- * although no other request explains them.
+ * A quarantined request must not be released only because some of its crashes have expired, while
+ * no other request explains the remaining ones.
  */
 class TestEvidenceExpiry {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestQuarantineFalsePositives.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestQuarantineFalsePositives.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Simulates engine crashes, caused by one request and by other reasons, to count the innocent
- * requests that are quarantined by mistake.
+ * Simulates engine crashes, some of them caused by one request, and counts the innocent requests
+ * that are quarantined by mistake.
  *
  * <p>Each request runs on one engine at a time; when that engine crashes, the request moves to
  * another one, up to four sends (two attempts at each of two engines). Half of the responses have
- * begun when the engine crashes.
+ * started when the engine crashes.
  */
 class TestQuarantineFalsePositives {
   private static final int RUNS = 200;
@@ -26,7 +26,6 @@
   private static final int MAX_SENDS = 4;
   private static final RequestFingerprint BAD = new RequestFingerprint(0, "bad");
 
-  /** An innocent request and how often it was sent. */
   private static final class InnocentRequest {
     final RequestFingerprint fingerprint;
     int sends = 1;
@@ -36,7 +35,7 @@
     }
   }
 
-  /** The result of one run. */
+  /** {@code innocents} requests were generated; {@code falsePositives} of them were quarantined. */
   private record Outcome(int crashes, int innocents, int falsePositives, boolean badFound) {}
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
@@ -67,7 +66,7 @@
     }
   }
 
-  /** Crashes an engine; its requests move to other engines. */
+  /** Crashes an engine and sends its requests to other engines. */
   private void crash(int engine, boolean causedByBad) {
     String instance = engine + "@" + ++crashes;
     if (causedByBad) {
@@ -88,7 +87,7 @@
     everQuarantined.addAll(causes);
   }
 
-  /** Completes some requests between two crashes. */
+  /** Completes a third of the requests on average. */
   private void completeSomeRequests() {
     for (List<InnocentRequest> engine : engines) {
       engine.removeIf(
@@ -127,7 +126,8 @@
       allInnocents += outcome.innocents();
     }
     System.out.printf(
-        "60 unrelated crashes: %d of %d innocent requests quarantined%n", falsePositives, allInnocents);
+        "60 unrelated crashes: %d of %d innocent requests quarantined%n",
+        falsePositives, allInnocents);
     assertThat(falsePositives * 1_000).as("less than one in a thousand").isLessThan(allInnocents);
   }
 
