--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -269,7 +269,7 @@
         engine.instance().slots(),
         engine.inFlight() + engine.peerCalls(),
         engine.estimatedLoad(nowMs),
-        engine.loadAgeMs(nowMs));
+        engine.loadReportAgeMs(nowMs));
   }
 
   private void updateWaitingGauge() {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -447,7 +447,7 @@
     private void onErrorResponse() {
       long now = nowMs();
       if (response.wrongInstance()) {
-        engine().onGone();
+        engine().onRemoved();
         retryOrFinish(true, "another engine has the address");
       } else if (response.notRun()) {
         engine().onFull(now, Math.max(response.retryAfterMs(), 50));
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
@@ -24,13 +24,14 @@
 /**
  * Transport for all requests and batch items of a process; confined to the event loop.
  *
- * <p>It detects under which requests engines crash, and does not send requests that are known to
- * crash engines. First attempts, retries, resumptions and items all pass here, so callers need not
- * check. Requests are recognized by their content, since each attempt has another id.
+ * <p>It records the requests that were in progress when an engine crashed, and fails quarantined
+ * requests instead of sending them. All attempts go through this transport, so callers need no
+ * check of their own. Requests are identified by their content, because the id changes with each
+ * attempt.
  */
 public final class QuarantiningTransport implements EngineTransport {
   private static final EventLog EVENTS = EventLog.of(QuarantiningTransport.class);
-  private static final Handle NOTHING_TO_CANCEL = () -> {};
+  private static final Handle NO_OP_HANDLE = () -> {};
 
   private final EngineTransport transport;
   private final EngineLivenessProbe livenessProbe;
@@ -42,10 +43,13 @@
   private final Map<String, List<InterruptedRequest>> interruptedByInstance = new HashMap<>();
 
   /**
-   * Creates a transport that sends calls over {@code transport}.
+   * Creates a transport.
    *
-   * @param eventLoop the thread of all calls
-   * @param onEngineDown called for each engine that is down, whenever that is noticed
+   * @param transport sends the calls
+   * @param livenessProbe checks engines after lost connections
+   * @param reporter reports crashes and completed requests to the leading coordinator
+   * @param eventLoop runs all calls and callbacks
+   * @param onEngineDown called each time an engine is found down
    */
   public QuarantiningTransport(
       EngineTransport transport,
@@ -64,7 +68,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Applies the list of requests that the fleet has quarantined. */
+  /** Applies the quarantine list of the leading coordinator. */
   public void updateQuarantine(QuarantineList list) {
     quarantine.update(list);
   }
@@ -74,9 +78,9 @@
     if (call.hasRequestId() && quarantine.isQuarantined(call, nowMs())) {
       eventLoop.execute(
           () -> listener.onFailure(EngineFailure.QUARANTINED, "engines ended under this request"));
-      return NOTHING_TO_CANCEL;
+      return NO_OP_HANDLE;
     }
-    return transport.start(call, new WatchedCall(call, listener));
+    return transport.start(call, new ObservingListener(call, listener));
   }
 
   private void onInterrupted(InterruptedRequest request) {
@@ -111,7 +115,7 @@
     List<EngineEnd> crashes = new ArrayList<>();
     for (InterruptedRequest request : interrupted) {
       RequestFingerprint fingerprint = RequestFingerprints.fingerprint(request.call());
-      EngineEnd crash = new EngineEnd(engine.lifeId(), fingerprint, request.answerBegan());
+      EngineEnd crash = new EngineEnd(engine.lifeId(), fingerprint, request.responseStarted());
       logCrash(request.call().requestId(), crash);
       localDetector.add(crash, nowMs);
       crashes.add(crash);
@@ -134,28 +138,28 @@
         crash.answerBegan());
   }
 
-  /** A request that completes does not crash engines. */
+  /** Removes the crashes of a request that completed, since it does not crash engines. */
   private void onServed(EngineCall call) {
     if (localDetector.isEmpty() || !localDetector.mayContain(RequestFingerprints.outline(call))) {
       return;
     }
     RequestFingerprint request = RequestFingerprints.fingerprint(call);
     if (localDetector.contains(request)) {
-      localDetector.clear(request);
+      localDetector.remove(request);
       reporter.reportServed(request);
     }
   }
 
-  /** Passes on the events of a call, and handles the loss of its connection. */
-  private final class WatchedCall implements EngineListener {
-    private static final int SUCCESS_FROM = 200;
-    private static final int SUCCESS_TO = 300;
+  /** Forwards the events of a call to its listener; handles completion and lost connections. */
+  private final class ObservingListener implements EngineListener {
+    private static final int MIN_SUCCESS_STATUS = 200;
+    private static final int MIN_REDIRECT_STATUS = 300;
 
     private final EngineCall call;
     private final EngineListener listener;
     private int status;
 
-    WatchedCall(EngineCall call, EngineListener listener) {
+    ObservingListener(EngineCall call, EngineListener listener) {
       this.call = call;
       this.listener = listener;
     }
@@ -173,7 +177,7 @@
 
     @Override
     public void onEnd() {
-      if (call.hasRequestId() && status >= SUCCESS_FROM && status < SUCCESS_TO) {
+      if (call.hasRequestId() && status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS) {
         onServed(call);
       }
       listener.onEnd();
@@ -184,7 +188,7 @@
       if (failure.isLostConnection() && call.hasRequestId()) {
         onInterrupted(new InterruptedRequest(call, status != 0));
       } else if (failure == EngineFailure.CONNECTION_REFUSED
-          && livenessProbe.isDown(call.engine())) {
+          && livenessProbe.isDownAfterRefusal(call.engine())) {
         onEngineDown.accept(call.engine());
       }
       listener.onFailure(failure, reason);
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
@@ -10,47 +10,48 @@
 /**
  * The quarantined requests known to this process; confined to the event loop.
  *
- * <p>The leading coordinator decides, since all processes report crashes to it. A request that only
- * this process has found is quarantined until the leader's decision can be expected.
+ * <p>The leading coordinator receives the crashes from all processes and decides on the quarantine.
+ * Until its next list arrives, or a time limit passes, this process also quarantines the crash
+ * causes that it identified itself.
  */
 final class RequestQuarantine {
-  /** Time for several leader elections, which take 0.6 to 1.2 s each. */
-  private static final long LOCAL_VALID_MS = 10_000;
+  /** How long causes that only this process knows stay quarantined; outlasts several elections. */
+  private static final long LOCAL_QUARANTINE_MS = 10_000;
 
   private final Set<Integer> outlines = new HashSet<>();
-  private final Set<RequestFingerprint> confirmed = new HashSet<>();
-  private final Set<RequestFingerprint> local = new HashSet<>();
+  private final Set<RequestFingerprint> confirmedRequests = new HashSet<>();
+  private final Set<RequestFingerprint> localRequests = new HashSet<>();
   private long version = QuarantineList.NONE.version();
-  private long localUntilMs;
+  private long localExpiryMs;
 
-  /** Applies the list of the leading coordinator. */
+  /** Replaces all quarantined requests by the list of the leading coordinator. */
   void update(QuarantineList list) {
     if (list.version() == version) {
       return;
     }
     version = list.version();
-    confirmed.clear();
-    confirmed.addAll(list.requests());
-    local.clear();
+    confirmedRequests.clear();
+    confirmedRequests.addAll(list.requests());
+    localRequests.clear();
     rebuildOutlines();
   }
 
-  /** Adds requests that this process has found. */
-  void addLocal(Collection<RequestFingerprint> found, long nowMs) {
-    if (local.addAll(found)) {
-      localUntilMs = nowMs + LOCAL_VALID_MS;
+  /** Quarantines crash causes that this process identified itself. */
+  void addLocal(Collection<RequestFingerprint> causes, long nowMs) {
+    if (localRequests.addAll(causes)) {
+      localExpiryMs = nowMs + LOCAL_QUARANTINE_MS;
       rebuildOutlines();
     }
   }
 
   private void rebuildOutlines() {
     outlines.clear();
-    confirmed.forEach(request -> outlines.add(request.outline()));
-    local.forEach(request -> outlines.add(request.outline()));
+    confirmedRequests.forEach(request -> outlines.add(request.outline()));
+    localRequests.forEach(request -> outlines.add(request.outline()));
   }
 
   boolean isConfirmed(RequestFingerprint request) {
-    return confirmed.contains(request);
+    return confirmedRequests.contains(request);
   }
 
   /** Whether a call's request is quarantined; reads the body only if the outline matches. */
@@ -59,6 +60,7 @@
       return false;
     }
     RequestFingerprint request = RequestFingerprints.fingerprint(call);
-    return confirmed.contains(request) || (nowMs < localUntilMs && local.contains(request));
+    return confirmedRequests.contains(request)
+        || (nowMs < localExpiryMs && localRequests.contains(request));
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestEvidenceExpiry.java
@@ -8,26 +8,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The expiry of some crashes must not release a quarantined request.
- *
- * <p>Guards against releasing a request whose remaining crashes are too few to make it a cause,
- * although no other request explains them.
+ * A quarantined request must not be released only because some of its crashes have expired, while
+ * no other request explains the remaining ones.
  */
 class TestEvidenceExpiry {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
-  private static final long LATER_MS = 40_000;
+  private static final long LAST_CRASHES_MS = 40_000;
   private static final long FIRST_CRASHES_EXPIRED_MS = 61_000;
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
 
-  private void crashedWhileResponding(long atMs, List<String> engines) {
+  private void addCrashesWhileResponding(long atMs, List<String> engines) {
     engines.forEach(engine -> detector.add(new EngineEnd(engine, BAD, true), atMs));
   }
 
   @Test
   void expiredEvidenceDoesNotReleaseRequest() {
-    crashedWhileResponding(0, List.of("a", "b", "c"));
-    crashedWhileResponding(LATER_MS, List.of("d", "e", "f"));
+    addCrashesWhileResponding(0, List.of("a", "b", "c"));
+    addCrashesWhileResponding(LAST_CRASHES_MS, List.of("d", "e", "f"));
     assertThat(detector.causes(known -> false)).containsExactly(BAD);
     detector.expire(FIRST_CRASHES_EXPIRED_MS);
     boolean released =
