--- a/fleet/src/main/java/io/pathdeck/fleet/FleetSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/FleetSettings.java
@@ -11,12 +11,14 @@
  * Settings that all processes of a fleet have.
  *
  * @param name the unique name of the machine
+ * @param zone the zone of the machine
  * @param listen the address at which other processes reach this one
  * @param seeds addresses of coordinators to contact first
  * @param toleratedLosses how many machines with data may be lost at once
  * @param limitWindowMs time window of the tenants' rate limits
  * @param peerCompression which frames to other processes are compressed
- * @param metricsListen the address that serves metrics; empty if they are not served
+ * @param metricsListen the address that serves metrics; empty to serve none
+ * @param tls the PEM files for TLS between processes; disabled without them
  */
 public record FleetSettings(
     String name,
@@ -28,7 +30,7 @@
     FrameCompression peerCompression,
     Optional<HostPort> metricsListen,
     TlsSettings tls) {
-  private static final int MAX_TOLERATED = 4;
+  private static final int MAX_TOLERATED_LOSSES = 4;
   private static final int MAX_COMPRESS_FROM_BYTES = 1024 * 1024;
   private static final int MAX_PORT = 65_535;
   private static final double DEFAULT_LIMIT_WINDOW_S = 5;
@@ -36,7 +38,7 @@
   private static final double MAX_LIMIT_WINDOW_S = 3_600;
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Reads the settings that all roles share. */
+  /** Reads the settings; {@code reader} collects the problems. */
   public static FleetSettings read(SettingsReader reader) {
     int seedPort = reader.integer("seed_port", 0, 0, MAX_PORT);
     List<HostPort> seeds =
@@ -49,7 +51,7 @@
             reader.string("zone"),
             reader.address("listen"),
             seeds,
-            reader.integer("tolerated_losses", 1, 0, MAX_TOLERATED),
+            reader.integer("tolerated_losses", 1, 0, MAX_TOLERATED_LOSSES),
             limitWindowMs(reader),
             peerCompression(reader),
             reader.has("metrics_listen")
@@ -77,13 +79,12 @@
         reader.integer("compress_peer_frames_from_bytes", 0, 0, MAX_COMPRESS_FROM_BYTES));
   }
 
-  /** Returns the addresses of the seeds. */
   public List<String> seedAddresses() {
     return seeds.stream().map(HostPort::toString).toList();
   }
 
-  /** Returns the size from which a group still has a quorum after the tolerated losses. */
-  public int minMembers() {
+  /** Returns the smallest size of a group that keeps a quorum after the tolerated losses. */
+  public int minGroupSize() {
     return 2 * toleratedLosses + 1;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerProtocol.java
@@ -8,15 +8,15 @@
 
 /** Parses the requests of callers and encodes responses to them. */
 public interface CallerProtocol {
-  /** Parses the request of an exchange. */
+  /** Parses a request; returns {@link CallerRequest.Malformed} if it is invalid. */
   CallerRequest read(HttpExchange exchange);
 
-  /** Returns the path of the readiness check. */
+  /** Returns the path at which callers check whether a gateway is ready. */
   String readinessPath();
 
   /** Parses the items of a batch job, or returns an error message. */
   Result<List<BatchItem>, String> readItems(byte[] body);
 
-  /** Encodes results as JSON. */
+  /** Encodes the results of a batch job as JSON. */
   byte[] writeResults(BatchResults results);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/CallerRequest.java
@@ -10,11 +10,13 @@
    * A request to be matched against the routes.
    *
    * @param requestId the caller's id of this attempt; empty if not given
+   * @param host the host that the caller addressed
    * @param path the path without the query, as matched by routes
-   * @param deadlineMs how long the caller waits; 0 if not given
+   * @param maxWaitMs how long the caller waits; 0 if not given
    * @param resumeAfter the last event that the caller has; -1 to start from the beginning
    * @param promptTokens number of tokens in the prompt; 0 if not given
    * @param outputTokens maximum number of output tokens; 0 if not given
+   * @param promptParts the parts of the prompt that other requests may share
    * @param key the API key of the caller's tenant; empty if not given
    * @param headers the headers to forward to an engine
    */
@@ -22,7 +24,7 @@
       String requestId,
       String host,
       String path,
-      long deadlineMs,
+      long maxWaitMs,
       long resumeAfter,
       long promptTokens,
       long outputTokens,
@@ -34,15 +36,15 @@
   /** A part of a prompt that other requests may share. */
   record PromptPart(String id, long tokens) {}
 
-  /** Reads results of a batch job. */
+  /** Reads results of a batch job; waits up to {@code waitMs} if there is none yet. */
   record ReadResults(String jobId, int from, long waitMs, String key) implements CallerRequest {}
 
-  /** Reads the body of a waiting item. */
+  /** Reads the body of an item of a batch job that still waits for its execution. */
   record ReadItem(String jobId, String itemId, String key) implements CallerRequest {}
 
   /** Ends a batch job. */
   record EndJob(String jobId, String key) implements CallerRequest {}
 
-  /** A request that is not valid in this protocol. */
+  /** A request that violates the protocol; {@code reason} is returned to the caller. */
   record Malformed(String reason) implements CallerRequest {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
@@ -7,12 +7,12 @@
 /** Parses queries for the addresses of gateways and encodes the responses. */
 public interface DirectoryProtocol {
 
-  /** A query; {@code zone} is empty if not given. */
+  /** A query from a caller; {@code zone} is the caller's zone, empty if not given. */
   record Query(String zone) {}
 
-  /** Parses the query of an exchange; empty if it is not a query. */
+  /** Parses a query; empty if the exchange is none. */
   Optional<Query> read(HttpExchange exchange);
 
-  /** Encodes addresses and how long they are valid. */
+  /** Encodes addresses and how long callers may use them. */
   byte[] write(List<String> addresses, long validSeconds);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
@@ -7,10 +7,15 @@
 /**
  * A request to one engine.
  *
+ * @param engine the engine
+ * @param method the HTTP method
  * @param uri the path with the query, as sent by the caller
+ * @param host the value of the Host header
+ * @param requestId the id of the request; {@link #NO_REQUEST_ID} if it has none
  * @param tenant how the tenant is passed to the engine
  * @param headers the headers to forward
- * @param deadlineMs how long the engine may work
+ * @param body the body to forward
+ * @param timeoutMs how long the engine may work; 0 for no limit
  * @param resumeAfter the last event that was already received; -1 to start from the beginning
  */
 public record EngineCall(
@@ -22,12 +27,12 @@
     EngineTenant tenant,
     HttpHeaders headers,
     byte[] body,
-    long deadlineMs,
+    long timeoutMs,
     long resumeAfter) {
-  /** The request id of a call that carries no request of a caller. */
+  /** The request id of a call on behalf of no caller. */
   public static final String NO_REQUEST_ID = "";
 
-  /** Whether the call carries a request of a caller or an item of a job. */
+  /** Whether the call is for a request of a caller or an item of a job. */
   public boolean hasRequestId() {
     return !requestId.equals(NO_REQUEST_ID);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineListProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineListProtocol.java
@@ -10,6 +10,7 @@
   /**
    * A page of the list.
    *
+   * @param engines the valid entries
    * @param nextPage the id of the next page; null on the last one
    * @param rejected the reasons why entries were rejected, one line each
    */
@@ -18,6 +19,6 @@
   /** Returns the path of a page; {@code page} is null for the first one. */
   String path(String page);
 
-  /** Parses a page, or returns an error message. */
+  /** Parses a page, or returns an error message if the page as a whole is invalid. */
   Result<Page, String> read(byte[] body);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
@@ -10,11 +10,11 @@
  * @param slots number of requests that can run at once; 0 if not reported
  * @param bornMs when the reporting engine process started; {@link EngineInstance#BORN_UNKNOWN} if
  *     not reported
- * @param pacePercent current duration of work in percent of the usual one; {@link #PACE_UNKNOWN} if
- *     not reported
+ * @param pacePercent how long work currently takes, in percent of the usual duration; {@link
+ *     #PACE_UNKNOWN} if not reported
  */
 public record EngineLoadReport(int running, int waiting, int slots, long bornMs, int pacePercent) {
-  /** The pace of an engine that does not report it. */
+  /** The value of {@code pacePercent} if the engine does not report it. */
   public static final int PACE_UNKNOWN = 0;
 
   /** Creates a report without a pace. */
@@ -27,7 +27,7 @@
     this(running, waiting, slots, EngineInstance.BORN_UNKNOWN);
   }
 
-  /** Whether the engine reports its pace, as engines do that share their machine with others. */
+  /** Whether the engine reports its pace; engines that share a machine with others do. */
   public boolean hasPace() {
     return pacePercent != PACE_UNKNOWN;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineProtocol.java
@@ -6,10 +6,10 @@
 
 /** Encodes requests to engines and parses their responses. */
 public interface EngineProtocol {
-  /** Encodes a call. */
+  /** Encodes the request to an engine. */
   FullHttpRequest write(EngineCall call);
 
-  /** Parses the head of a response. */
+  /** Parses the status and headers of a response. */
   EngineResponse read(HttpResponse head);
 
   /** Returns the path at which an engine reports its load. */
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineResponse.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineResponse.java
@@ -5,18 +5,20 @@
 /**
  * Status and headers of an engine's response.
  *
- * @param requestId the request that was answered; empty if not given
- * @param signed whether an engine signed the response
+ * @param status the HTTP status
+ * @param requestId the id of the request that was answered; empty if not given
+ * @param stamped whether the response carries the stamp that engines add
  * @param notRun whether the engine guarantees that the request did not run
- * @param wrongInstance whether another engine answered than the one that was addressed
+ * @param wrongInstance whether an engine other than the addressed one answered
  * @param load the load of the engine; null if not given
  * @param idleTimeoutMs how long the engine keeps an idle connection open; 0 if not given
+ * @param retryAfterMs how long to wait before a retry; 0 if not given
  * @param headers the headers to return to the caller
  */
 public record EngineResponse(
     int status,
     String requestId,
-    boolean signed,
+    boolean stamped,
     boolean notRun,
     boolean wrongInstance,
     EngineLoadReport load,
@@ -26,7 +28,7 @@
   private static final int MIN_SUCCESS_STATUS = 200;
   private static final int MIN_REDIRECT_STATUS = 300;
 
-  /** Whether the status is a success. */
+  /** Whether the status is 2xx. */
   public boolean isSuccess() {
     return status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineTenant.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineTenant.java
@@ -1,17 +1,17 @@
 package io.pathdeck.fleet.adapter;
 
-/** How the tenant of a request is passed to an engine. */
+/** Selects the tenant headers of a request to an engine. */
 public sealed interface EngineTenant {
-  /** The fleet has no tenants: what the caller sent is forwarded unchanged. */
+  /** Forwards the caller's tenant headers unchanged; used if the fleet has no tenants. */
   record PassThrough() implements EngineTenant {}
 
-  /** No tenant is sent, whatever the caller sent. */
+  /** Sends no tenant; removes the caller's tenant headers. */
   record Anonymous() implements EngineTenant {}
 
-  /** The tenant of this name is sent, whatever the caller sent. */
+  /** Sends the tenant {@code name}; removes the caller's tenant headers. */
   record Named(String name) implements EngineTenant {}
 
-  /** Returns the tenant of a batch job; {@code owner} is empty if the fleet had no tenants. */
+  /** Selects the headers for a batch job; {@code owner} is empty if the fleet had no tenants. */
   static EngineTenant ofOwner(String owner) {
     return owner.isEmpty() ? new PassThrough() : new Named(owner);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorProtocol.java
@@ -4,9 +4,9 @@
 
 /** Parses the requests of operators and encodes responses to them. */
 public interface OperatorProtocol {
-  /** Parses the request of an exchange. */
+  /** Parses a request; returns {@link OperatorRequest.Unknown} for other calls. */
   OperatorRequest read(HttpExchange exchange);
 
   /** Encodes whether a store has been retired. */
-  byte[] writeRetirement(boolean done);
+  byte[] writeRetirement(boolean retired);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorRequest.java
@@ -5,7 +5,7 @@
 /** A request of an operator to a coordinator. */
 public sealed interface OperatorRequest {
 
-  /** Sets the configuration. */
+  /** Replaces the configuration. */
   record PutRoutes(RouteTable table) implements OperatorRequest {}
 
   /** Reads the configuration. */
@@ -17,9 +17,9 @@
   /** Reads whether a store has been retired. */
   record ReadRetirement(String name) implements OperatorRequest {}
 
-  /** The request is invalid. */
+  /** A request with invalid content; {@code reason} is returned to the operator. */
   record Invalid(String reason) implements OperatorRequest {}
 
-  /** Not a request of this protocol. */
+  /** A request that is no call of this protocol. */
   record Unknown() implements OperatorRequest {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorProcess.java
@@ -45,19 +45,19 @@
 import java.util.stream.Collectors;
 
 /**
- * A coordinator: replicates the configuration, tracks the members, serves operators and the
- * directory.
+ * A coordinator: replicates the configuration, tracks the processes of the fleet, and serves
+ * operators and the directory of gateways.
  */
 public final class CoordinatorProcess implements FleetMemberProcess {
-  /** Number of the replicated group that stores the fleet configuration. */
+  /** Number of the replicated group formed by the coordinators. */
   public static final int FLEET_GROUP = 0;
 
   private static final EventLog EVENTS = EventLog.of(CoordinatorProcess.class);
   private static final long SNAPSHOT_THRESHOLD_BYTES = 4L * 1024 * 1024;
   private static final long MAX_SEGMENT_BYTES = 8L * 1024 * 1024;
-  private static final String FOUNDERS_FILE = "founders";
+  private static final String INITIAL_MEMBERS_FILE = "founders";
 
-  /** Longest wait for calls in progress at shutdown; longer than an operator call can take. */
+  /** Maximum wait for calls in progress at shutdown; longer than an operator call can take. */
   private static final long DRAIN_TIMEOUT_MS = OperatorEndpoint.CALL_TIMEOUT_MS + 100;
 
   private static final HttpLimits HTTP_LIMITS =
@@ -87,20 +87,21 @@
   private Result<Void, StorageError> run(
       DataFolder folder, TransportTls tls, FleetAdapter adapter) {
     FleetSettings fleet = settings.fleet();
-    Result<Set<String>, StorageError> founders = loadFounders(folder);
-    if (!founders.isOk()) {
-      return Result.err(founders.error());
+    Result<Set<String>, StorageError> initialMembers = loadInitialMembers(folder);
+    if (!initialMembers.isOk()) {
+      return Result.err(initialMembers.error());
     }
     EventLoopGroup eventLoops = EventLoops.create(1);
     resources.push(eventLoops::shutdownGracefully);
     EventLoop eventLoop = eventLoops.next();
     PeerPool pool = resources.push(new PeerPool(eventLoops, tls, fleet.peerCompression()));
-    Set<String> contactAddresses = new HashSet<>(founders.value());
+    Set<String> contactAddresses = new HashSet<>(initialMembers.value());
     contactAddresses.addAll(fleet.seedAddresses());
     contactAddresses.forEach(address -> pool.learn(MemberIds.of(address), address));
     FleetStateMachine state = new FleetStateMachine();
     Result<ReplicaHost, StorageError> opened =
-        ReplicaHost.open(replicaOptions(state, founders.value(), contactAddresses), folder, pool);
+        ReplicaHost.open(
+            replicaOptions(state, initialMembers.value(), contactAddresses), folder, pool);
     if (!opened.isOk()) {
       return Result.err(opened.error());
     }
@@ -110,14 +111,14 @@
   }
 
   /**
-   * Returns the initial members of the group, saved at the first start of the system; otherwise
-   * none.
+   * Returns the addresses of the group's initial members, which are saved at the first start of the
+   * system; empty if this coordinator did not take part in it.
    */
-  private Result<Set<String>, StorageError> loadFounders(DataFolder folder) {
-    Optional<String> stored = folder.readFile(FOUNDERS_FILE);
+  private Result<Set<String>, StorageError> loadInitialMembers(DataFolder folder) {
+    Optional<String> stored = folder.readFile(INITIAL_MEMBERS_FILE);
     if (stored.isEmpty() && settings.firstStart()) {
       String addresses = String.join(",", settings.fleet().seedAddresses());
-      Result<Void, StorageError> written = folder.writeFile(FOUNDERS_FILE, addresses);
+      Result<Void, StorageError> written = folder.writeFile(INITIAL_MEMBERS_FILE, addresses);
       if (!written.isOk()) {
         return Result.err(written.error());
       }
@@ -128,12 +129,12 @@
   }
 
   private ReplicaHost.Options replicaOptions(
-      FleetStateMachine state, Set<String> founders, Set<String> contactAddresses) {
+      FleetStateMachine state, Set<String> initialMembers, Set<String> contactAddresses) {
     FleetSettings fleet = settings.fleet();
     String address = fleet.listen().toString();
     JoinSettings join =
         new JoinSettings(
-            founders.contains(address) ? memberIds(founders) : Set.of(),
+            initialMembers.contains(address) ? memberIds(initialMembers) : Set.of(),
             memberIds(contactAddresses),
             address,
             MembershipPolicy.openTolerating(fleet.toleratedLosses()));
@@ -151,8 +152,8 @@
   }
 
   /**
-   * Starts the services of gateways and callers before those of operators, since each takes a
-   * noticeable part of the startup on a small machine.
+   * Starts the services for gateways and callers before those for operators, since starting each
+   * takes noticeable time on a small machine.
    */
   private void startServices(
       ReplicaHost host,
@@ -164,7 +165,7 @@
       TransportTls tls,
       FleetAdapter adapter) {
     FleetSettings fleet = settings.fleet();
-    LastKnownFleet lastKnown = resources.push(new LastKnownFleet(folder));
+    LastKnownFleet lastKnownFleet = resources.push(new LastKnownFleet(folder));
     FleetMembership[] membership = new FleetMembership[1];
     EngineListPoller poller =
         new EngineListPoller(
@@ -172,41 +173,41 @@
             adapter.engineList(),
             settings.engineList(),
             settings.engineListIntervalMs(),
-            listed -> host.execute(() -> membership[0].onEngineList(listed)));
+            engines -> host.execute(() -> membership[0].onEngineList(engines)));
     membership[0] =
         new FleetMembership(
             host.group(),
             state,
             host.clock(),
-            fleet.minMembers(),
+            fleet.minGroupSize(),
             fleet.limitWindowMs(),
             poller::setPolling,
-            lastKnown.recovered());
+            lastKnownFleet.recoveredUpdate());
     contacts = new CoordinatorContacts(fleet, pool, eventLoops);
     FleetProcess self = describeSelf(folder.incarnation());
     FleetFollower follower =
-        contacts.follower(eventLoop, () -> new FleetFollower.SelfReport(self, false, null));
-    follower.onChange(view -> saveIfConfirmed(view, follower, lastKnown));
-    lastKnown.start();
+        contacts.createFollower(eventLoop, () -> new FleetFollower.SelfReport(self, false, null));
+    follower.setChangeListener(view -> saveIfConfirmed(view, follower, lastKnownFleet));
+    lastKnownFleet.start();
     resources.push(
         new PeerServer(
             fleet.listen(),
             eventLoops,
             tls,
             fleet.peerCompression(),
-            (message, reply) -> route(message, reply, host, membership[0])));
+            (message, reply) -> dispatch(message, reply, host, membership[0])));
     resources.push(host);
     host.start(membership[0]);
     GatewaySelector selector = new GatewaySelector(settings.namedGatewaysShare());
     DirectoryEndpoint directory =
         new DirectoryEndpoint(adapter.directory(), follower::view, selector);
-    serve(settings.directoryListen(), eventLoops, directory::handle);
+    startHttpServer(settings.directoryListen(), eventLoops, directory::handle);
     resources.push(follower);
     follower.start();
     OperatorEndpoint operators =
         new OperatorEndpoint(
-            adapter.operators(), contacts.client(), follower::view, fleet.minMembers());
-    serve(settings.operatorsListen(), eventLoops, operators::handle);
+            adapter.operators(), contacts.client(), follower::view, fleet.minGroupSize());
+    startHttpServer(settings.operatorsListen(), eventLoops, operators::handle);
     MemberMetrics.serve(
         fleet,
         eventLoops,
@@ -234,13 +235,13 @@
   }
 
   /**
-   * Saves only what a leader confirmed: the last-known state of another coordinator may be older
-   * than the file.
+   * Saves a view only if a leader confirmed it: the last-known state of another coordinator may be
+   * older than the file.
    */
   private static void saveIfConfirmed(
-      FleetView view, FleetFollower follower, LastKnownFleet lastKnown) {
+      FleetView view, FleetFollower follower, LastKnownFleet lastKnownFleet) {
     if (follower.isConfirmed()) {
-      lastKnown.offer(view);
+      lastKnownFleet.saveAsync(view);
     }
   }
 
@@ -258,7 +259,7 @@
         FleetProcess.NO_GROUP);
   }
 
-  private static void route(
+  private static void dispatch(
       Message message, ReplySink reply, ReplicaHost host, FleetMembership membership) {
     if (message instanceof FleetHeartbeat heartbeat) {
       host.execute(() -> membership.onHeartbeat(heartbeat, reply));
@@ -271,15 +272,16 @@
     }
   }
 
-  private void serve(HostPort address, EventLoopGroup eventLoops, Consumer<HttpExchange> handler) {
+  private void startHttpServer(
+      HostPort address, EventLoopGroup eventLoops, Consumer<HttpExchange> handler) {
     HttpServer server = new HttpServer(address, eventLoops, HTTP_LIMITS, Optional.empty(), handler);
     servers.add(resources.push(server));
   }
 
   @Override
-  public void reload(FleetSettings changed) {
-    contacts.setSeeds(changed.seedAddresses());
-    EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", changed.seedAddresses());
+  public void reload(FleetSettings newSettings) {
+    contacts.setSeeds(newSettings.seedAddresses());
+    EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", newSettings.seedAddresses());
   }
 
   /** Shuts down gracefully: hands over the leadership and finishes calls in progress. */
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
@@ -10,12 +10,15 @@
 /**
  * Settings of a coordinator.
  *
- * @param operatorsListen address for operators
- * @param directoryListen address of the directory of gateways
+ * @param fleet the settings that all processes have
+ * @param operatorsListen the address that serves operators
+ * @param directoryListen the address that serves the directory of gateways
+ * @param dataFolder the folder of the replicated log and the saved fleet state
  * @param firstStart whether this is the first start of the whole system, on empty disks
+ * @param engineList the address to read the list of engines from
+ * @param engineListIntervalMs the time between reads of the list of engines
  * @param namedGatewaysShare fraction of the ready gateways that the directory lists if there are
  *     many
- * @param engineList address of the list of engines
  */
 public record CoordinatorSettings(
     FleetSettings fleet,
@@ -29,14 +32,15 @@
   private static final int DEFAULT_ENGINE_LIST_INTERVAL_MS = 800;
 
   /**
-   * Few enough that each gateway gets sufficient requests to stay warm, and enough for peak load.
+   * Small enough that each listed gateway gets sufficient requests to stay warm, and large enough
+   * for peak load.
    */
   private static final double DEFAULT_NAMED_SHARE = 0.5;
 
   private static final double MIN_NAMED_SHARE = 0.05;
   private static final double MAX_NAMED_SHARE = 1;
 
-  /** Reads and validates the settings. */
+  /** Reads the settings, or returns the problems that {@code reader} found. */
   public static Result<CoordinatorSettings, SettingsError> read(SettingsReader reader) {
     CoordinatorSettings settings =
         new CoordinatorSettings(
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/DirectoryEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/DirectoryEndpoint.java
@@ -12,11 +12,11 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Lists gateways for callers: those of their own zone if enough of them are ready. */
+/** Lists ready gateways for callers: those in the zone of the caller if there are enough. */
 final class DirectoryEndpoint {
   private static final int MAX_ADDRESSES = 64;
   private static final int MIN_GATEWAYS_IN_ZONE = 2;
-  private static final long VALID_SECONDS = 2;
+  private static final long ADDRESSES_VALID_SECONDS = 2;
 
   private final DirectoryProtocol protocol;
   private final Supplier<FleetView> view;
@@ -39,25 +39,25 @@
     if (addresses.isEmpty()) {
       exchange.sendError(ApiError.unavailable("no_gateway", "no gateway is ready", 1_000));
     } else {
-      exchange.sendJson(200, protocol.write(addresses, VALID_SECONDS));
+      exchange.sendJson(200, protocol.write(addresses, ADDRESSES_VALID_SECONDS));
     }
   }
 
   private List<String> selectAddresses(String zone) {
-    List<FleetProcess> inZone = new ArrayList<>();
-    List<FleetProcess> ready = new ArrayList<>();
+    List<FleetProcess> readyInZone = new ArrayList<>();
+    List<FleetProcess> readyGateways = new ArrayList<>();
     for (FleetProcess gateway : view.get().withRole(FleetRole.GATEWAY)) {
       if (!gateway.ready()) {
         continue;
       }
-      ready.add(gateway);
+      readyGateways.add(gateway);
       if (gateway.zone().equals(zone)) {
-        inZone.add(gateway);
+        readyInZone.add(gateway);
       }
     }
     List<String> addresses = new ArrayList<>();
     for (FleetProcess gateway :
-        selector.select(inZone.size() >= MIN_GATEWAYS_IN_ZONE ? inZone : ready)) {
+        selector.select(readyInZone.size() >= MIN_GATEWAYS_IN_ZONE ? readyInZone : readyGateways)) {
       addresses.add(gateway.serviceAddress());
     }
     Collections.shuffle(addresses);
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/EngineListPoller.java
@@ -21,7 +21,7 @@
   private static final long RETRY_DELAY_MS = 300;
   private static final int MAX_PAGES = 1_000;
 
-  /** Limits memory: about 100 bytes each. */
+  /** Number of rejection reasons remembered to log each only once; beyond it all are forgotten. */
   private static final int MAX_LOGGED_REJECTIONS = 256;
 
   private final EventLoop eventLoop;
@@ -33,7 +33,7 @@
   private final Set<String> loggedRejections = new HashSet<>();
   private long generation;
   private boolean polling;
-  private boolean reachable = true;
+  private boolean lastReadSucceeded = true;
 
   EngineListPoller(
       EventLoop eventLoop,
@@ -79,14 +79,14 @@
     Result<EngineListProtocol.Page, String> page =
         result.isOk() ? protocol.read(result.value()) : Result.err(result.error());
     if (!page.isOk()) {
-      if (reachable) {
+      if (lastReadSucceeded) {
         EVENTS.log(EventCode.ENGINE_LIST_UNREACHABLE, "address", address, "reason", page.error());
       }
-      reachable = false;
+      lastReadSucceeded = false;
       scheduleNext(pollGeneration, RETRY_DELAY_MS);
       return;
     }
-    reachable = true;
+    lastReadSucceeded = true;
     page.value().rejected().forEach(this::logRejectedOnce);
     engines.addAll(page.value().engines());
     String next = page.value().nextPage();
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Logs each reason once, until {@link #MAX_LOGGED_REJECTIONS} different ones were logged. */
+  /** Logs each reason once, and again after {@link #MAX_LOGGED_REJECTIONS} different ones. */
   private void logRejectedOnce(String reason) {
     if (loggedRejections.size() >= MAX_LOGGED_REJECTIONS) {
       loggedRejections.clear();
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/FleetMembership.java
@@ -36,16 +36,16 @@
  * thread.
  *
  * <p>This state is not replicated: a new leader collects it again under its own term, and sends no
- * list of processes until all of them had time to report.
+ * list of processes until all of them have had time to report.
  */
 final class FleetMembership implements ConsensusExtension {
-  /** Silence after which a process is reported as gone. */
+  /** How long a process may send no heartbeat before it is removed from the list. */
   private static final long PROCESS_TIMEOUT_MS = 1_500;
 
   /** How long a new leader collects heartbeats before it sends the list of processes. */
   private static final long COLLECTION_PERIOD_MS = 1_000;
 
-  /** How long no new founder may have appeared before the jobs groups are founded. */
+  /** How long no new founding candidate may have appeared before the jobs groups are founded. */
   private static final long FOUNDING_SETTLE_MS = 700;
 
   private static final EventLog EVENTS = EventLog.of(FleetMembership.class);
@@ -53,47 +53,51 @@
   private final GroupRuntime group;
   private final FleetStateMachine state;
   private final ControllerClock clock;
-  private final int minStores;
-  private final TenantAdmission tenants;
-  private final QuarantineManager quarantine;
+  private final int minGroupSize;
+  private final TenantAdmission tenantAdmission;
+  private final QuarantineManager quarantineManager;
   private final Consumer<Boolean> leadershipListener;
-  private final LastKnownResponder lastKnown;
+  private final LastKnownResponder lastKnownResponder;
   private final VersionedList<FleetProcess> processes = new VersionedList<>();
   private final VersionedList<EngineInstance> engines = new VersionedList<>();
   private final Map<String, Long> lastHeartbeatMs = new HashMap<>();
-  private final TreeMap<Integer, FleetProcess> founders = new TreeMap<>();
+  private final TreeMap<Integer, FleetProcess> foundingCandidates = new TreeMap<>();
   private final JobsGroupRegistry jobsGroups;
   private boolean leading;
   private long epoch;
   private long leaderSinceMs;
   private boolean enginesKnown;
-  private long newestFounderMs;
+  private long newestCandidateMs;
   private boolean foundingProposed;
 
   /**
-   * Creates the membership of a coordinator that can answer from now on.
+   * Creates the membership; call when this coordinator becomes able to answer, since the time
+   * limits of last-known state start here.
    *
-   * @param minStores minimum number of stores in a jobs group
+   * @param group the replicated group of the coordinators
+   * @param state the replicated fleet state
+   * @param clock the clock of the consensus thread
+   * @param minGroupSize minimum number of stores in a jobs group
    * @param limitWindowMs time window of the tenants' rate limits
    * @param leadershipListener called when this coordinator starts or stops leading
-   * @param lastKnown the fleet state saved before the restart of this coordinator
+   * @param savedUpdate the fleet state saved before the restart of this coordinator
    */
   FleetMembership(
       GroupRuntime group,
       FleetStateMachine state,
       ControllerClock clock,
-      int minStores,
+      int minGroupSize,
       long limitWindowMs,
       Consumer<Boolean> leadershipListener,
-      Optional<FleetUpdate> lastKnown) {
-    this.lastKnown = new LastKnownResponder(lastKnown, clock.monotonicMs());
+      Optional<FleetUpdate> savedUpdate) {
+    this.lastKnownResponder = new LastKnownResponder(savedUpdate, clock.monotonicMs());
     this.group = group;
     this.state = state;
     this.clock = clock;
-    this.minStores = minStores;
-    this.tenants = new TenantAdmission(group, state, limitWindowMs);
-    this.quarantine = new QuarantineManager(group, state, clock);
-    this.jobsGroups = new JobsGroupRegistry(JobsGroupFounding.targetSize(minStores));
+    this.minGroupSize = minGroupSize;
+    this.tenantAdmission = new TenantAdmission(group, state, limitWindowMs);
+    this.quarantineManager = new QuarantineManager(group, state, clock);
+    this.jobsGroups = new JobsGroupRegistry(JobsGroupFounding.targetSize(minGroupSize));
     this.leadershipListener = leadershipListener;
   }
 
@@ -106,8 +110,8 @@
     }
     if (leading) {
       removeExpiredProcesses(nowMs);
-      tenants.expire(nowMs);
-      quarantine.onStep(nowMs);
+      tenantAdmission.removeSilentGateways(nowMs);
+      quarantineManager.onStep(nowMs);
       foundJobsGroupsIfReady(nowMs);
     }
   }
@@ -119,12 +123,12 @@
     processes.clear();
     engines.clear();
     lastHeartbeatMs.clear();
-    founders.clear();
+    foundingCandidates.clear();
     enginesKnown = false;
     foundingProposed = false;
     jobsGroups.clear(nowMs);
-    tenants.clear();
-    quarantine.clear();
+    tenantAdmission.clear();
+    quarantineManager.clear();
     leadershipListener.accept(leads);
   }
 
@@ -141,13 +145,13 @@
   // ---- heartbeats
 
   /**
-   * Answers a heartbeat after confirming that this coordinator leads. While no leader is known, a
-   * process without a list from a leader gets the last-known state.
+   * Answers a heartbeat after confirming that this coordinator leads. While it knows no leader, it
+   * sends last-known state to processes that have no list from a leader.
    */
   void onHeartbeat(FleetHeartbeat heartbeat, ReplySink reply) {
     long nowMs = clock.monotonicMs();
     if (isLeaderUnknown()) {
-      Optional<FleetUpdate> saved = lastKnown.answerWithoutLeader(heartbeat, nowMs);
+      Optional<FleetUpdate> saved = lastKnownResponder.answerWithoutLeader(heartbeat, nowMs);
       if (saved.isPresent()) {
         replyLastKnown(heartbeat, saved.get(), reply);
         return;
@@ -177,7 +181,7 @@
     }
     recordHeartbeat(heartbeat, nowMs);
     List<String> contendedTenants =
-        tenants.onHeartbeat(heartbeat.sender(), heartbeat.tenantUse(), nowMs);
+        tenantAdmission.onHeartbeat(heartbeat.sender(), heartbeat.tenantUse(), nowMs);
     reply.reply(
         new FleetUpdate(
             routesFor(heartbeat),
@@ -188,7 +192,7 @@
             groupFor(heartbeat.sender(), nowMs),
             leavingMembers(),
             contendedTenants,
-            quarantine.newerThan(heartbeat.quarantineVersion())));
+            quarantineManager.updateFor(heartbeat.quarantineVersion())));
   }
 
   private void recordHeartbeat(FleetHeartbeat heartbeat, long nowMs) {
@@ -210,27 +214,26 @@
       jobsGroups.onReport(report);
     }
     if (sender.role() == FleetRole.STORE && heartbeat.mayFound()) {
-      recordFounder(sender, nowMs);
+      recordFoundingCandidate(sender, nowMs);
     }
   }
 
-  private void recordFounder(FleetProcess sender, long nowMs) {
-    FleetProcess previous = founders.put(sender.memberId(), sender);
+  private void recordFoundingCandidate(FleetProcess sender, long nowMs) {
+    FleetProcess previous = foundingCandidates.put(sender.memberId(), sender);
     if (previous == null || previous.incarnation() != sender.incarnation()) {
-      newestFounderMs = nowMs;
+      newestCandidateMs = nowMs;
     }
   }
 
-  /** Decides on one request of a contended tenant. */
+  /** Admits or rejects one request of a tenant near its rate limit. */
   void onAdmission(AdmissionRequest request, ReplySink reply) {
     long nowMs = clock.monotonicMs();
     boolean collectionDone = leading && nowMs - leaderSinceMs >= COLLECTION_PERIOD_MS;
-    reply.reply(tenants.decide(request, collectionDone, nowMs));
+    reply.reply(tenantAdmission.decide(request, collectionDone, nowMs));
   }
 
-  /** Handles a notice of engine crashes. */
   void onEngineCrashes(EngineEndNotice notice, ReplySink reply) {
-    quarantine.onNotice(notice, reply, clock.monotonicMs());
+    quarantineManager.onNotice(notice, reply, clock.monotonicMs());
   }
 
   private List<Integer> leavingMembers() {
@@ -238,35 +241,39 @@
   }
 
   /**
-   * Returns the group of a store; a new leader assigns none until all stores had time to report.
+   * Returns the group of a store; a new leader assigns none until all stores have had time to
+   * report.
    */
   private int groupFor(FleetProcess sender, long nowMs) {
     if (sender.role() != FleetRole.STORE || nowMs - leaderSinceMs < COLLECTION_PERIOD_MS) {
       return sender.jobsGroup();
     }
-    int assigned =
+    int assignedGroup =
         jobsGroups.groupFor(
             sender, state.jobsFounders(), processes.values(), Set.copyOf(leavingMembers()), nowMs);
-    if (assigned != sender.jobsGroup()) {
-      EVENTS.log(EventCode.STORE_ASSIGNED, "store", sender.name(), "group", assigned);
+    if (assignedGroup != sender.jobsGroup()) {
+      EVENTS.log(EventCode.STORE_ASSIGNED, "store", sender.name(), "group", assignedGroup);
     }
-    return assigned;
+    return assignedGroup;
   }
 
   private void foundJobsGroupsIfReady(long nowMs) {
-    boolean ready = founders.size() >= minStores && nowMs - newestFounderMs >= FOUNDING_SETTLE_MS;
-    if (foundingProposed || !ready || !state.jobsFounders().isEmpty()) {
+    boolean candidatesSettled =
+        foundingCandidates.size() >= minGroupSize
+            && nowMs - newestCandidateMs >= FOUNDING_SETTLE_MS;
+    if (foundingProposed || !candidatesSettled || !state.jobsFounders().isEmpty()) {
       return;
     }
     foundingProposed = true;
-    List<JobsGroupFounders> groups = JobsGroupFounding.form(founders.values(), minStores);
-    for (JobsGroupFounders founded : groups) {
+    List<JobsGroupFounders> groups =
+        JobsGroupFounding.form(foundingCandidates.values(), minGroupSize);
+    for (JobsGroupFounders founders : groups) {
       EVENTS.log(
           EventCode.JOBS_GROUP_FOUNDED,
           "group",
-          founded.group(),
+          founders.group(),
           "members",
-          founded.configuration().members());
+          founders.configuration().members());
     }
     group.propose("", 0, new FoundJobsGroups(groups), reply -> {}, clock);
   }
@@ -281,7 +288,7 @@
 
   private EngineListDelta enginesFor(FleetHeartbeat heartbeat, long nowMs) {
     if (!enginesKnown) {
-      return lastKnown.enginesBeforeFirstRead(heartbeat, nowMs);
+      return lastKnownResponder.enginesBeforeFirstRead(heartbeat, nowMs);
     }
     VersionedList.Delta<EngineInstance> delta =
         engines.since(heartbeat.engineSequence(), heartbeat.engineEpoch() == epoch);
@@ -301,25 +308,27 @@
 
   // ---- engines
 
-  /** Applies the list of engines as it was just read; ignored unless this coordinator leads. */
-  void onEngineList(List<EngineInstance> listed) {
+  /** Replaces the list of engines; ignored unless this coordinator leads. */
+  void onEngineList(List<EngineInstance> listedEngines) {
     if (!leading) {
       return;
     }
-    Set<String> ids = listed.stream().map(EngineInstance::id).collect(Collectors.toSet());
+    Set<String> listedIds =
+        listedEngines.stream().map(EngineInstance::id).collect(Collectors.toSet());
     int changes = 0;
-    for (EngineInstance engine : listed) {
+    for (EngineInstance engine : listedEngines) {
       changes += engines.put(engine.id(), engine) ? 1 : 0;
     }
     for (String id : engines.keys()) {
-      if (!ids.contains(id)) {
+      if (!listedIds.contains(id)) {
         engines.remove(id);
         changes++;
       }
     }
     enginesKnown = true;
     if (changes > 0) {
-      EVENTS.log(EventCode.ENGINE_LIST_CHANGED, "engines", listed.size(), "changes", changes);
+      EVENTS.log(
+          EventCode.ENGINE_LIST_CHANGED, "engines", listedEngines.size(), "changes", changes);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelectionMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelectionMetrics.java
@@ -10,21 +10,21 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** Gauges of the number of gateways that a coordinator lists for callers, over all zones. */
+/** Gauges of the number of gateways that the directory lists for callers, over all zones. */
 final class GatewaySelectionMetrics {
   private static final String METRIC_NAME = "pathdeck.gateways.named";
   private static final String RULE_TAG = "by";
 
   private GatewaySelectionMetrics() {}
 
-  /** Registers gauges of the gateways that {@code selector} selects from {@code view}. */
+  /** Registers a gauge for zones with different sizes of gateways, and one for the other zones. */
   static void bind(MeterRegistry registry, Supplier<FleetView> view, GatewaySelector selector) {
-    bind(registry, "size", () -> countSelected(gateways(view.get()), selector, true));
-    bind(registry, "order", () -> countSelected(gateways(view.get()), selector, false));
+    registerGauge(registry, "size", () -> countSelected(gateways(view.get()), selector, true));
+    registerGauge(registry, "order", () -> countSelected(gateways(view.get()), selector, false));
   }
 
   /** Registers a gauge with a strong reference, since nothing else references {@code count}. */
-  private static void bind(MeterRegistry registry, String rule, Supplier<Number> count) {
+  private static void registerGauge(MeterRegistry registry, String rule, Supplier<Number> count) {
     Gauge.builder(METRIC_NAME, count).tag(RULE_TAG, rule).strongReference(true).register(registry);
   }
 
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Counts the gateways selected in zones where sizes differ, or in the other zones if {@code
+   * Counts the gateways selected in zones where their sizes differ, or in all other zones if {@code
    * bySize} is false.
    */
   static int countSelected(List<FleetProcess> gateways, GatewaySelector selector, boolean bySize) {
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelector.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelector.java
@@ -7,10 +7,9 @@
 /**
  * Selects the ready gateways that the directory lists for callers.
  *
- * <p>A gateway that serves few requests runs cold code and learns of engine load late: its first
- * 300 requests take 8 ms of processor time each, later ones 4 ms. So only a share of many gateways
- * is selected; the others are ready to replace them. All coordinators use the same order and select
- * the same gateways.
+ * <p>A gateway that serves few requests runs code that the JIT compiler has not optimized, and
+ * learns of engine load late. So only a share of many gateways is selected; the others are ready to
+ * replace them. All coordinators use the same order and select the same gateways.
  *
  * <p>Where gateways differ in size, the largest are selected first, and only as many as match the
  * capacity of the usual number of smallest gateways. Callers spread evenly over the selected
@@ -18,11 +17,11 @@
  * when too few large ones are ready, and then enough of them.
  */
 final class GatewaySelector {
-  /** Lower limit: a small fleet needs all its gateways to tolerate losses. */
+  /** A fleet of up to this many gateways needs all of them to tolerate losses. */
   static final int MIN_SELECTED = 6;
 
   /**
-   * Lower limit where sizes differ: if two gateways are lost at once, the others have half of the
+   * Minimum where sizes differ: if two gateways are lost at once, the others have half of the
    * required capacity until callers learn of the replacements.
    */
   static final int MIN_SELECTED_BY_SIZE = 4;
@@ -38,42 +37,45 @@
   /**
    * Creates a selector.
    *
-   * @param share fraction of the ready gateways to select where there are many, up to 1
+   * @param share fraction of the ready gateways to select if there are many, up to 1
    */
   GatewaySelector(double share) {
     this.share = share;
   }
 
-  /** Selects from the {@code ready} gateways, independent of their order. */
-  List<FleetProcess> select(List<FleetProcess> ready) {
-    int count = Math.max(MIN_SELECTED, (int) Math.ceil(share * ready.size()));
-    if (differInSize(ready)) {
-      return selectLargest(ready, Math.min(count, ready.size()));
+  /** Selects the same gateways whatever the order of {@code readyGateways}. */
+  List<FleetProcess> select(List<FleetProcess> readyGateways) {
+    int count = Math.max(MIN_SELECTED, (int) Math.ceil(share * readyGateways.size()));
+    if (differInSize(readyGateways)) {
+      return selectLargest(readyGateways, Math.min(count, readyGateways.size()));
     }
-    return ready.stream().sorted(BY_RANK).limit(count).toList();
+    return readyGateways.stream().sorted(BY_RANK).limit(count).toList();
   }
 
-  /** Whether the gateways report different sizes; false if any of them reports none. */
+  /** Whether the gateways report different numbers of cores; false if any of them reports none. */
   static boolean differInSize(List<FleetProcess> gateways) {
-    boolean allKnown =
+    boolean allSizesKnown =
         gateways.stream().noneMatch(gateway -> gateway.cores() == FleetProcess.CORES_UNKNOWN);
-    return allKnown && gateways.stream().mapToDouble(FleetProcess::cores).distinct().count() > 1;
+    return allSizesKnown
+        && gateways.stream().mapToDouble(FleetProcess::cores).distinct().count() > 1;
   }
 
   /**
-   * Selects the fewest of the largest gateways with the capacity of {@code count} of the smallest.
+   * Selects the largest gateways, as few as provide the capacity of {@code count} gateways of the
+   * smallest size.
    */
-  private static List<FleetProcess> selectLargest(List<FleetProcess> ready, int count) {
-    List<FleetProcess> sorted = ready.stream().sorted(LARGEST_FIRST).toList();
-    double neededCores = count * sorted.get(sorted.size() - 1).cores();
-    int selected = Math.min(MIN_SELECTED_BY_SIZE, count);
-    while (selected < count && selected * sorted.get(selected - 1).cores() < neededCores) {
-      selected++;
+  private static List<FleetProcess> selectLargest(List<FleetProcess> readyGateways, int count) {
+    List<FleetProcess> sortedGateways = readyGateways.stream().sorted(LARGEST_FIRST).toList();
+    double neededCores = count * sortedGateways.get(sortedGateways.size() - 1).cores();
+    int selectedCount = Math.min(MIN_SELECTED_BY_SIZE, count);
+    while (selectedCount < count
+        && selectedCount * sortedGateways.get(selectedCount - 1).cores() < neededCores) {
+      selectedCount++;
     }
-    return sorted.subList(0, selected);
+    return sortedGateways.subList(0, selectedCount);
   }
 
-  /** Spreads the selection over machines with sequential names. */
+  /** Returns a hash, so that the selection is spread over machines with sequential names. */
   private static int rank(FleetProcess gateway) {
     int hash = gateway.name().hashCode() * 0x9E3779B9;
     return hash ^ (hash >>> 15);
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/HttpFetcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/HttpFetcher.java
@@ -24,11 +24,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Fetches small documents over HTTP, each on its own connection. */
+/** Fetches documents of limited size over HTTP, each on its own connection. */
 final class HttpFetcher {
   private static final int MAX_DOCUMENT_LENGTH = 8 * 1024 * 1024;
   private static final int CONNECT_TIMEOUT_MS = 500;
-  private static final int OK = 200;
+  private static final int STATUS_OK = 200;
 
   private final EventLoop eventLoop;
 
@@ -37,11 +37,11 @@
   }
 
   /**
-   * Gets {@code path}; the future completes on the event loop with the body or an error message.
+   * Fetches {@code path}; the future completes on the event loop with the body or an error message.
    */
   CompletableFuture<Result<byte[], String>> get(HostPort address, String path, long timeoutMs) {
     CompletableFuture<Result<byte[], String>> outcome = new CompletableFuture<>();
-    ChannelFuture connecting =
+    ChannelFuture connectFuture =
         new Bootstrap()
             .group(eventLoop)
             .channel(NioSocketChannel.class)
@@ -56,7 +56,7 @@
                   }
                 })
             .connect(address.toSocketAddress());
-    connecting.addListener(
+    connectFuture.addListener(
         (ChannelFuture future) -> {
           if (future.isSuccess()) {
             future.channel().writeAndFlush(request(address, path));
@@ -67,7 +67,7 @@
     eventLoop.schedule(
         () -> {
           outcome.complete(Result.err("no answer in " + timeoutMs + " ms"));
-          connecting.channel().close();
+          connectFuture.channel().close();
         },
         timeoutMs,
         TimeUnit.MILLISECONDS);
@@ -94,7 +94,7 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
       int status = response.status().code();
       outcome.complete(
-          status == OK
+          status == STATUS_OK
               ? Result.ok(ByteBufUtil.getBytes(response.content()))
               : Result.err("status " + status));
       context.close();
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupFounding.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupFounding.java
@@ -16,32 +16,33 @@
  * Divides the initial stores into the groups that replicate batch jobs.
  *
  * <p>A group has one member more than it needs to tolerate the configured losses, so that one store
- * can be retired at any time. It has no more than that: its leader sends every byte to each other
- * member, and every disk holds all data of the group. More stores make more groups instead; surplus
- * stores wait as replacements.
+ * can be retired at any time. Larger groups would cost traffic and disk space, since the leader
+ * sends every byte to each other member and every disk holds all data of the group. So more stores
+ * form more groups; surplus stores wait as replacements.
  */
 final class JobsGroupFounding {
   private JobsGroupFounding() {}
 
-  /** Returns the number of stores that a group should have. */
-  static int targetSize(int minMembers) {
-    return minMembers + 1;
+  /** Returns the number of stores that a group should have, one of which may be retired. */
+  static int targetSize(int minGroupSize) {
+    return minGroupSize + 1;
   }
 
   /**
-   * Forms as many groups as there are stores for, each over as many zones as possible.
+   * Forms as many groups of the target size as the stores suffice for, but at least one, and
+   * spreads each over as many zones as possible.
    *
-   * @param minMembers minimum size of a group that tolerates the configured losses
+   * @param minGroupSize minimum size of a group that tolerates the configured losses
    */
-  static List<JobsGroupFounders> form(Collection<FleetProcess> stores, int minMembers) {
-    int target = targetSize(minMembers);
+  static List<JobsGroupFounders> form(Collection<FleetProcess> stores, int minGroupSize) {
+    int target = targetSize(minGroupSize);
     int groupCount = Math.max(1, stores.size() / target);
-    List<List<FleetProcess>> members = new ArrayList<>();
-    for (int group = 0; group < groupCount; group++) {
-      members.add(new ArrayList<>());
+    List<List<FleetProcess>> groups = new ArrayList<>();
+    for (int index = 0; index < groupCount; index++) {
+      groups.add(new ArrayList<>());
     }
     for (FleetProcess store : alternatingZones(stores)) {
-      members.stream()
+      groups.stream()
           .filter(group -> group.size() < target)
           .min(
               Comparator.<List<FleetProcess>>comparingLong(
@@ -49,11 +50,11 @@
                   .thenComparing(List::size))
           .ifPresent(group -> group.add(store));
     }
-    List<JobsGroupFounders> founded = new ArrayList<>();
-    for (List<FleetProcess> group : members) {
-      founded.add(new JobsGroupFounders(founded.size() + 1, configuration(group)));
+    List<JobsGroupFounders> founders = new ArrayList<>();
+    for (List<FleetProcess> group : groups) {
+      founders.add(new JobsGroupFounders(founders.size() + 1, configuration(group)));
     }
-    return founded;
+    return founders;
   }
 
   private static long countInZone(List<FleetProcess> group, String zone) {
@@ -74,13 +75,13 @@
 
   /** Returns the first store of each zone, then the second of each, and so on. */
   private static List<FleetProcess> alternatingZones(Collection<FleetProcess> stores) {
-    Map<String, Integer> seen = new HashMap<>();
+    Map<String, Integer> storeCountByZone = new HashMap<>();
     Map<Integer, List<FleetProcess>> rounds = new TreeMap<>();
     stores.stream()
         .sorted(Comparator.comparing(FleetProcess::zone).thenComparing(FleetProcess::name))
         .forEach(
             store -> {
-              int round = seen.merge(store.zone(), 1, Integer::sum);
+              int round = storeCountByZone.merge(store.zone(), 1, Integer::sum);
               rounds.computeIfAbsent(round, key -> new ArrayList<>()).add(store);
             });
     return rounds.values().stream().flatMap(List::stream).toList();
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupRegistry.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/JobsGroupRegistry.java
@@ -21,21 +21,21 @@
  * <p>Only the groups and their first members are replicated. The leader assigns later stores; a
  * store saves the number of its group on disk and reports it in heartbeats, from which a new leader
  * learns it. Two leaders may assign a store differently: the store keeps the number that it saved
- * first, and one group then has a member more than it needs. A new leader assigns none in its first
- * seconds, so that waiting stores do not replace members that are only starting.
+ * first, and one group then has a member more than it needs. A new leader assigns no replacements
+ * during its first {@value #REPLACEMENT_DELAY_MS} ms, since lost members may only be restarting.
  */
 final class JobsGroupRegistry {
   /**
-   * How long a group must lack a member before a waiting store replaces it: longer than the restart
-   * of a store, which takes 2 to 3 s.
+   * How long a group must lack a member before a waiting store replaces it; longer than the restart
+   * of a store.
    */
   static final long REPLACEMENT_DELAY_MS = 4_000;
 
   private final int targetSize;
-  private final Map<Integer, JobsGroupReport> reports = new TreeMap<>();
-  private final Map<Integer, Integer> assigned = new HashMap<>();
-  private final Map<Integer, Long> incompleteSinceMs = new HashMap<>();
-  private final Set<Integer> waiting = new HashSet<>();
+  private final Map<Integer, JobsGroupReport> reportByGroup = new TreeMap<>();
+  private final Map<Integer, Integer> assignedGroupByMemberId = new HashMap<>();
+  private final Map<Integer, Long> incompleteSinceMsByGroup = new HashMap<>();
+  private final Set<Integer> waitingMemberIds = new HashSet<>();
   private long leaderSinceMs = Long.MIN_VALUE / 2;
 
   /**
@@ -47,71 +47,73 @@
     this.targetSize = targetSize;
   }
 
-  /** Discards all state, when the leadership of this coordinator begins or ends. */
+  /** Discards all state; called when the leadership of this coordinator begins or ends. */
   void clear(long nowMs) {
     leaderSinceMs = nowMs;
-    reports.clear();
-    assigned.clear();
-    incompleteSinceMs.clear();
-    waiting.clear();
+    reportByGroup.clear();
+    assignedGroupByMemberId.clear();
+    incompleteSinceMsByGroup.clear();
+    waitingMemberIds.clear();
   }
 
   /** Records the report of a group's leader, unless one of a newer term is known. */
   void onReport(JobsGroupReport report) {
-    JobsGroupReport known = reports.get(report.group());
+    JobsGroupReport known = reportByGroup.get(report.group());
     if (known == null || report.term() >= known.term()) {
-      reports.put(report.group(), report);
+      reportByGroup.put(report.group(), report);
     }
   }
 
   /** Returns the newest report of each group. */
   List<JobsGroupReport> reports() {
-    return List.copyOf(reports.values());
+    return List.copyOf(reportByGroup.values());
   }
 
   /**
    * Returns the group that a store belongs to, or {@link FleetProcess#NO_GROUP} if it has to wait.
    *
-   * @param founded the groups and their first members
+   * @param store the store as it describes itself
+   * @param foundedGroups the groups and their first members
    * @param processes all live processes
-   * @param leaving the ids of stores that are being retired
+   * @param leavingMemberIds the ids of stores that are being retired
+   * @param nowMs the current time
    */
   int groupFor(
       FleetProcess store,
-      List<JobsGroupFounders> founded,
+      List<JobsGroupFounders> foundedGroups,
       Collection<FleetProcess> processes,
-      Set<Integer> leaving,
+      Set<Integer> leavingMemberIds,
       long nowMs) {
     if (store.jobsGroup() != FleetProcess.NO_GROUP) {
       return store.jobsGroup();
     }
-    if (leaving.contains(store.memberId())) {
+    if (leavingMemberIds.contains(store.memberId())) {
       return FleetProcess.NO_GROUP;
     }
-    return knownGroupOf(store, founded)
-        .orElseGet(() -> assign(store, founded, processes, leaving, nowMs));
+    return knownGroupOf(store, foundedGroups)
+        .orElseGet(() -> assign(store, foundedGroups, processes, leavingMemberIds, nowMs));
   }
 
   /** Returns the group that a store reports, is a member of, or was assigned to. */
-  private Optional<Integer> knownGroupOf(FleetProcess store, List<JobsGroupFounders> founded) {
+  private Optional<Integer> knownGroupOf(
+      FleetProcess store, List<JobsGroupFounders> foundedGroups) {
     if (store.jobsGroup() != FleetProcess.NO_GROUP) {
       return Optional.of(store.jobsGroup());
     }
-    return membershipOf(store, founded)
-        .or(() -> Optional.ofNullable(assigned.get(store.memberId())));
+    return groupWithMember(store, foundedGroups)
+        .or(() -> Optional.ofNullable(assignedGroupByMemberId.get(store.memberId())));
   }
 
-  /**
-   * Returns the group that lists the store as a member, for a store that is new or lost its disk.
-   */
-  private Optional<Integer> membershipOf(FleetProcess store, List<JobsGroupFounders> founded) {
-    for (JobsGroupFounders founders : founded) {
-      JobsGroupReport report = reports.get(founders.group());
-      Optional<Member> known =
+  /** Returns the group that lists the store as a member, even if the store has lost its disk. */
+  private Optional<Integer> groupWithMember(
+      FleetProcess store, List<JobsGroupFounders> foundedGroups) {
+    for (JobsGroupFounders founders : foundedGroups) {
+      JobsGroupReport report = reportByGroup.get(founders.group());
+      Optional<Member> member =
           report == null
               ? founders.configuration().find(store.memberId())
               : report.configuration().find(store.memberId());
-      if (known.isPresent()) {
+      if (member.isPresent()) {
         return Optional.of(founders.group());
       }
     }
@@ -120,39 +122,43 @@
 
   private int assign(
       FleetProcess store,
-      List<JobsGroupFounders> founded,
+      List<JobsGroupFounders> foundedGroups,
       Collection<FleetProcess> processes,
-      Set<Integer> leaving,
+      Set<Integer> leavingMemberIds,
       long nowMs) {
-    Map<Integer, Integer> sizes = sizes(founded, processes, leaving);
+    Map<Integer, Integer> sizes = countStoresByGroup(foundedGroups, processes, leavingMemberIds);
     updateIncompleteSince(sizes, nowMs);
-    Optional<Integer> smallest = sizes.keySet().stream().min(Comparator.comparing(sizes::get));
-    if (smallest.isEmpty() || sizes.get(smallest.get()) >= targetSize) {
-      waiting.add(store.memberId());
+    Optional<Integer> smallestGroup = sizes.keySet().stream().min(Comparator.comparing(sizes::get));
+    if (smallestGroup.isEmpty() || sizes.get(smallestGroup.get()) >= targetSize) {
+      waitingMemberIds.add(store.memberId());
       return FleetProcess.NO_GROUP;
     }
-    int group = smallest.get();
+    int group = smallestGroup.get();
     boolean lostMemberMayReturn =
-        waiting.contains(store.memberId())
-            && nowMs - incompleteSinceMs.get(group) < REPLACEMENT_DELAY_MS;
+        waitingMemberIds.contains(store.memberId())
+            && nowMs - incompleteSinceMsByGroup.get(group) < REPLACEMENT_DELAY_MS;
     boolean membersMayStillStart = nowMs - leaderSinceMs < REPLACEMENT_DELAY_MS;
     if (lostMemberMayReturn || membersMayStillStart) {
       return FleetProcess.NO_GROUP;
     }
-    waiting.remove(store.memberId());
-    assigned.put(store.memberId(), group);
+    waitingMemberIds.remove(store.memberId());
+    assignedGroupByMemberId.put(store.memberId(), group);
     return group;
   }
 
-  /** Counts the live stores that each group has or will have, except those being retired. */
-  private Map<Integer, Integer> sizes(
-      List<JobsGroupFounders> founded, Collection<FleetProcess> processes, Set<Integer> leaving) {
+  /** Counts the live stores that belong or are assigned to each group, except retiring ones. */
+  private Map<Integer, Integer> countStoresByGroup(
+      List<JobsGroupFounders> foundedGroups,
+      Collection<FleetProcess> processes,
+      Set<Integer> leavingMemberIds) {
     Map<Integer, Integer> sizes = new TreeMap<>();
-    founded.forEach(founders -> sizes.put(founders.group(), 0));
+    foundedGroups.forEach(founders -> sizes.put(founders.group(), 0));
     for (FleetProcess process : processes) {
-      boolean counts = process.role() == FleetRole.STORE && !leaving.contains(process.memberId());
-      if (counts) {
-        knownGroupOf(process, founded).ifPresent(group -> sizes.merge(group, 1, Integer::sum));
+      boolean isCounted =
+          process.role() == FleetRole.STORE && !leavingMemberIds.contains(process.memberId());
+      if (isCounted) {
+        knownGroupOf(process, foundedGroups)
+            .ifPresent(group -> sizes.merge(group, 1, Integer::sum));
       }
     }
     return sizes;
@@ -162,9 +168,9 @@
     sizes.forEach(
         (group, size) -> {
           if (size >= targetSize) {
-            incompleteSinceMs.remove(group);
+            incompleteSinceMsByGroup.remove(group);
           } else {
-            incompleteSinceMs.putIfAbsent(group, nowMs);
+            incompleteSinceMsByGroup.putIfAbsent(group, nowMs);
           }
         });
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownFleet.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownFleet.java
@@ -22,29 +22,29 @@
  *
  * <p>After a restart of all coordinators, it serves gateways without any state until a leader is
  * elected. It holds committed configurations only, so a process that starts with it never has to go
- * back to an older one. As it may be out of date, it is sent only to processes without a list from
- * a leader, only shortly after the start of this process ({@link LastKnownResponder}), and is used
- * only shortly after their own start: by then a leader should have answered.
+ * back to an older one. As it may be out of date, coordinators send it only shortly after their own
+ * start and only to processes without a list from a leader ({@link LastKnownResponder}), and these
+ * use it only shortly after their own start: by then a leader should have answered.
  *
  * <p>A separate thread writes the file, since the disk may hang: at most once every {@value
  * #WRITE_INTERVAL_MS} ms, except for changes of the quarantined requests.
  */
 final class LastKnownFleet implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(LastKnownFleet.class);
-  private static final String FILE = "last-known-fleet";
+  private static final String FILE_NAME = "last-known-fleet";
   private static final long WRITE_INTERVAL_MS = 1_000;
   private static final long NANOS_PER_MS = 1_000_000;
 
   private final DataFolder folder;
-  private final Optional<FleetUpdate> recovered;
-  private final AtomicReference<FleetView> latest = new AtomicReference<>();
+  private final Optional<FleetUpdate> recoveredUpdate;
+  private final AtomicReference<FleetView> latestView = new AtomicReference<>();
   private final Thread writer = new Thread(this::writeChanges, "last-known-fleet");
   private volatile boolean closed;
 
   /** Reads the file of an earlier process; {@link #start} starts writing. */
   LastKnownFleet(DataFolder folder) {
     this.folder = folder;
-    this.recovered = folder.readFile(FILE).flatMap(LastKnownFleet::decode);
+    this.recoveredUpdate = folder.readFile(FILE_NAME).flatMap(LastKnownFleet::decode);
     writer.setDaemon(true);
   }
 
@@ -55,35 +55,35 @@
   /**
    * Returns the state saved by an earlier process; empty if there is none or the file is damaged.
    */
-  Optional<FleetUpdate> recovered() {
-    return recovered;
+  Optional<FleetUpdate> recoveredUpdate() {
+    return recoveredUpdate;
   }
 
   /**
-   * Saves a view that came from a leader; does not block. A change of the quarantined requests is
-   * written without delay: a gateway that starts with an older list would send such a request to
-   * engines again.
+   * Saves a view that a leader sent; does not block. A change to the quarantined requests is
+   * written without delay: a gateway that starts with an older list would send a quarantined
+   * request to engines again.
    */
-  void offer(FleetView view) {
+  void saveAsync(FleetView view) {
     if (!view.isComplete()) {
       return;
     }
-    FleetView previous = latest.getAndSet(view);
+    FleetView previous = latestView.getAndSet(view);
     if (previous != null && !previous.quarantine().equals(view.quarantine())) {
       LockSupport.unpark(writer);
     }
   }
 
   private void writeChanges() {
-    FleetView written = null;
+    FleetView writtenView = null;
     while (!closed) {
-      FleetView view = latest.get();
-      if (view != null && !view.equals(written)) {
-        Result<Void, StorageError> result = folder.writeFile(FILE, encode(view));
+      FleetView view = latestView.get();
+      if (view != null && !view.equals(writtenView)) {
+        Result<Void, StorageError> result = folder.writeFile(FILE_NAME, encode(view));
         if (!result.isOk()) {
           EVENTS.log(EventCode.LAST_KNOWN_NOT_WRITTEN, "reason", result.error());
         }
-        written = view;
+        writtenView = view;
       }
       LockSupport.parkNanos(WRITE_INTERVAL_MS * NANOS_PER_MS);
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownResponder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownResponder.java
@@ -14,38 +14,37 @@
 /**
  * Answers heartbeats with the last-known fleet state, shortly after the start of a coordinator.
  *
- * <p>While no leader is known, all of the state is sent to processes without a list of engines from
- * a leader. A leader that has not read the list of engines yet sends the last-known list to
- * processes that have none. Neither answer carries a leader's epoch, so the list that the leader
- * reads is sent in full. Both end soon after the start: later a newer configuration may be in
- * force, and engines may have moved.
+ * <p>While no leader is known, a coordinator sends the whole state to processes that have no list
+ * of engines from a leader. A leader that has not read the list of engines yet sends the last-known
+ * list to processes without any. Neither answer carries a leader's epoch, so the leader later sends
+ * the list that it reads in full. Both kinds of answers end soon after the start: later a newer
+ * configuration may be in force, and engines may have moved.
  */
 final class LastKnownResponder {
   /**
-   * How long all of the state is sent: a failed election and a successful one. It counts from when
-   * this coordinator can answer, since a slow machine takes most of that time to start.
+   * How long the whole state is sent; outlasts a failed election and a successful one. It counts
+   * from when this coordinator can answer, since a slow machine takes most of that time to start.
    */
   static final long ANSWER_WINDOW_MS = 2_000;
 
-  /**
-   * How long a leader sends the last-known engines: an election and some failed reads of the list.
-   */
+  /** How long a leader sends the last-known engines; outlasts an election and some failed reads. */
   static final long ENGINE_LIST_WINDOW_MS = 4_000;
 
-  private final Optional<FleetUpdate> lastKnown;
+  private final Optional<FleetUpdate> savedUpdate;
   private final long servingSinceMs;
 
   /**
    * Creates a responder.
    *
+   * @param savedUpdate the state saved before the restart; empty if there is none
    * @param servingSinceMs when this coordinator became able to answer
    */
-  LastKnownResponder(Optional<FleetUpdate> lastKnown, long servingSinceMs) {
-    this.lastKnown = lastKnown.map(LastKnownResponder::withListSequence);
+  LastKnownResponder(Optional<FleetUpdate> savedUpdate, long servingSinceMs) {
+    this.savedUpdate = savedUpdate.map(LastKnownResponder::withListSequence);
     this.servingSinceMs = servingSinceMs;
   }
 
-  /** Sets a sequence on the list of engines, which distinguishes processes that have it. */
+  /** Gives the list of engines a sequence, by which heartbeats show whether the sender has it. */
   private static FleetUpdate withListSequence(FleetUpdate update) {
     return copyWith(
         update,
@@ -83,35 +82,38 @@
   }
 
   /**
-   * Returns the answer while no leader is known; empty if there is none. A process with the same or
-   * newer routes gets it without lists, which tells it only that no leader is known.
+   * Returns the answer while no leader is known, or empty to send none. A process with the same or
+   * newer routes only gets a notice that no leader is known.
    */
   Optional<FleetUpdate> answerWithoutLeader(FleetHeartbeat heartbeat, long nowMs) {
     boolean inWindow = nowMs - servingSinceMs < ANSWER_WINDOW_MS;
     if (!inWindow || heartbeat.engineEpoch() != FleetUpdate.NO_LEADERS_EPOCH) {
       return Optional.empty();
     }
-    return lastKnown.map(known -> hasRoutes(heartbeat, known) ? withoutLists(known) : known);
+    return savedUpdate.map(
+        saved -> hasCurrentRoutes(heartbeat, saved) ? leaderUnknownNotice(saved) : saved);
   }
 
-  private static boolean hasRoutes(FleetHeartbeat heartbeat, FleetUpdate known) {
-    return heartbeat.routeVersion() >= known.routes().version();
+  private static boolean hasCurrentRoutes(FleetHeartbeat heartbeat, FleetUpdate saved) {
+    return heartbeat.routeVersion() >= saved.routes().version();
   }
 
-  /** Leaves out the lists, since each process gets this answer many times a second. */
-  private static FleetUpdate withoutLists(FleetUpdate known) {
+  /**
+   * Omits routes, engines, processes and quarantine, since a process asks several times a second.
+   */
+  private static FleetUpdate leaderUnknownNotice(FleetUpdate saved) {
     ProcessListDelta noProcesses =
         new ProcessListDelta(
             FleetUpdate.NO_LEADERS_EPOCH, false, new ArrayList<>(), new ArrayList<>(), 0);
-    return copyWith(known, null, engineDelta(false, new ArrayList<>()), noProcesses, null);
+    return copyWith(saved, null, engineDelta(false, new ArrayList<>()), noProcesses, null);
   }
 
-  /** Returns the engines that a leader sends before it has read the list; null for none. */
+  /** Returns the engines that a leader sends before it has read the list; null to send none. */
   EngineListDelta enginesBeforeFirstRead(FleetHeartbeat heartbeat, long nowMs) {
-    boolean knowsNone =
+    boolean hasNoEngineList =
         heartbeat.engineEpoch() == FleetUpdate.NO_LEADERS_EPOCH
             && heartbeat.engineSequence() < FleetUpdate.NO_LEADERS_SEQUENCE;
     boolean inWindow = nowMs - servingSinceMs < ENGINE_LIST_WINDOW_MS;
-    return knowsNone && inWindow ? lastKnown.map(FleetUpdate::engines).orElse(null) : null;
+    return hasNoEngineList && inWindow ? savedUpdate.map(FleetUpdate::engines).orElse(null) : null;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
@@ -38,29 +38,29 @@
   private final OperatorProtocol protocol;
   private final GroupClient coordinators;
   private final Supplier<FleetView> view;
-  private final int minStores;
+  private final int minGroupSize;
 
   OperatorEndpoint(
       OperatorProtocol protocol,
       GroupClient coordinators,
       Supplier<FleetView> view,
-      int minStores) {
+      int minGroupSize) {
     this.protocol = protocol;
     this.coordinators = coordinators;
     this.view = view;
-    this.minStores = minStores;
+    this.minGroupSize = minGroupSize;
   }
 
   void handle(HttpExchange exchange) {
     OperatorRequest request = protocol.read(exchange);
-    if (request instanceof OperatorRequest.PutRoutes put) {
-      putRoutes(exchange, put.table());
+    if (request instanceof OperatorRequest.PutRoutes putRequest) {
+      putRoutes(exchange, putRequest.table());
     } else if (request instanceof OperatorRequest.ReadRoutes) {
       readRoutes(exchange);
-    } else if (request instanceof OperatorRequest.RetireStore retire) {
-      retireStore(exchange, retire.name());
-    } else if (request instanceof OperatorRequest.ReadRetirement read) {
-      readRetirement(exchange, read.name());
+    } else if (request instanceof OperatorRequest.RetireStore retireRequest) {
+      retireStore(exchange, retireRequest.name());
+    } else if (request instanceof OperatorRequest.ReadRetirement readRequest) {
+      readRetirement(exchange, readRequest.name());
     } else if (request instanceof OperatorRequest.Invalid invalid) {
       sendInvalid(exchange, invalid.reason());
     } else {
@@ -103,8 +103,8 @@
             result -> {
               if (result.isOk()
                   && result.value() instanceof QueryReply reply
-                  && reply.result() instanceof RouteTableResult read) {
-                sendRoutes(exchange, read.table());
+                  && reply.result() instanceof RouteTableResult routesResult) {
+                sendRoutes(exchange, routesResult.table());
               } else {
                 sendUnavailable(exchange, result);
               }
@@ -120,20 +120,20 @@
   }
 
   private void retireStore(HttpExchange exchange, String name) {
-    FleetView known = view.get();
-    Optional<FleetProcess> store = known.store(name);
+    FleetView currentView = view.get();
+    Optional<FleetProcess> store = currentView.findStore(name);
     if (store.isEmpty()) {
-      sendStoreMissing(exchange, known, name);
+      sendStoreMissing(exchange, currentView, name);
       return;
     }
     int memberId = store.get().memberId();
-    long remaining = countRemaining(store.get(), known);
+    long remaining = countRemaining(store.get(), currentView);
     boolean hasNoGroup = store.get().jobsGroup() == FleetProcess.NO_GROUP;
-    boolean mayLeave = hasNoGroup || known.leavingMembers().contains(memberId);
-    if (!mayLeave && remaining < minStores) {
+    boolean skipsSizeCheck = hasNoGroup || currentView.leavingMembers().contains(memberId);
+    if (!skipsSizeCheck && remaining < minGroupSize) {
       exchange.sendError(
           ApiError.conflict(
-              "too_few_stores", remaining + " stores would remain of " + minStores, true));
+              "too_few_stores", remaining + " stores would remain of " + minGroupSize, true));
       return;
     }
     propose(
@@ -148,21 +148,21 @@
         });
   }
 
-  /** Counts the other stores in the group of {@code store} or in none, except those retiring. */
-  private static long countRemaining(FleetProcess store, FleetView known) {
-    return known.withRole(FleetRole.STORE).stream()
+  /** Counts the other stores that the group has or could get, except retiring ones. */
+  private static long countRemaining(FleetProcess store, FleetView currentView) {
+    return currentView.withRole(FleetRole.STORE).stream()
         .filter(other -> other.memberId() != store.memberId())
         .filter(
             other ->
                 other.jobsGroup() == store.jobsGroup()
                     || other.jobsGroup() == FleetProcess.NO_GROUP)
-        .filter(other -> !known.leavingMembers().contains(other.memberId()))
+        .filter(other -> !currentView.leavingMembers().contains(other.memberId()))
         .count();
   }
 
-  /** Sends 503 while no process is known, since the store may still report. */
-  private static void sendStoreMissing(HttpExchange exchange, FleetView known, String name) {
-    if (known.processes().isEmpty()) {
+  /** Sends 404, or 503 while no process is known, since the store may still report. */
+  private static void sendStoreMissing(HttpExchange exchange, FleetView currentView, String name) {
+    if (currentView.processes().isEmpty()) {
       exchange.sendError(ApiError.failed(503, "starting", "no process is known yet", true));
     } else {
       exchange.sendError(ApiError.notFound("no_such_store", "no store " + name));
@@ -170,19 +170,19 @@
   }
 
   private void readRetirement(HttpExchange exchange, String name) {
-    FleetView known = view.get();
-    Optional<FleetProcess> store = known.store(name);
+    FleetView currentView = view.get();
+    Optional<FleetProcess> store = currentView.findStore(name);
     if (store.isEmpty()) {
-      sendStoreMissing(exchange, known, name);
+      sendStoreMissing(exchange, currentView, name);
       return;
     }
     int memberId = store.get().memberId();
-    boolean done =
-        known.leavingMembers().contains(memberId)
-            && known.jobsGroups().size() == known.jobsFounders().size()
-            && known.jobsGroups().stream()
+    boolean retired =
+        currentView.leavingMembers().contains(memberId)
+            && currentView.jobsGroups().size() == currentView.jobsFounders().size()
+            && currentView.jobsGroups().stream()
                 .allMatch(report -> report.configuration().find(memberId).isEmpty());
-    exchange.sendJson(200, protocol.writeRetirement(done));
+    exchange.sendJson(200, protocol.writeRetirement(retired));
   }
 
   private void propose(Command command, Consumer<Result<Message, GroupCallError>> handler) {
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/QuarantineManager.java
@@ -26,12 +26,15 @@
  *
  * <p>Notices of engine crashes are kept in memory, and processes send them again to a new leader.
  * Decisions are replicated, so that a request stays in quarantine after a power loss of all
- * machines: otherwise it would crash three more engines before it is found again.
+ * machines: otherwise it would crash more engines before it is detected again.
  */
 final class QuarantineManager {
   private static final EventLog EVENTS = EventLog.of(QuarantineManager.class);
 
-  /** Long enough for callers to give up, short enough to retry a fixed engine on the same day. */
+  /**
+   * Long enough for callers to stop retrying, short enough to admit a request soon after the
+   * engines are fixed.
+   */
   private static final long QUARANTINE_DURATION_MS = 600_000;
 
   private static final long STEP_INTERVAL_MS = 1_000;
@@ -44,8 +47,8 @@
   /** When this leader first saw each request in quarantine. */
   private final Map<RequestFingerprint, Long> quarantinedSinceMs = new HashMap<>();
 
-  /** Proposed for quarantine, not committed yet. */
-  private final Set<RequestFingerprint> proposed = new HashSet<>();
+  /** Requests whose quarantine is proposed but not committed yet. */
+  private final Set<RequestFingerprint> proposedRequests = new HashSet<>();
 
   private long nextStepMs;
 
@@ -55,19 +58,21 @@
     this.clock = clock;
   }
 
-  /** Discards all state, when the leadership changes. */
+  /** Discards the crashes and pending decisions; called when the leadership changes. */
   void clear() {
     detector.clear();
     quarantinedSinceMs.clear();
-    proposed.clear();
+    proposedRequests.clear();
   }
 
-  /** Returns the list for a process that has {@code version}; null if that is the current one. */
-  QuarantineList newerThan(long version) {
-    return state.quarantineVersion() == version ? null : state.quarantine();
+  /**
+   * Returns the list for a process that has {@code knownVersion}; null if that is the current one.
+   */
+  QuarantineList updateFor(long knownVersion) {
+    return state.quarantineVersion() == knownVersion ? null : state.quarantine();
   }
 
-  /** Handles a notice; replies once the resulting quarantine is committed. */
+  /** Records engine crashes; replies once a resulting quarantine is committed. */
   void onNotice(EngineEndNotice notice, ReplySink reply, long nowMs) {
     if (!group.isLeading()) {
       reply.reply(group.notLeader());
@@ -79,7 +84,7 @@
     releaseExonerated(causes);
     List<RequestFingerprint> newCauses =
         causes.stream()
-            .filter(request -> !state.isQuarantined(request) && proposed.add(request))
+            .filter(request -> !state.isQuarantined(request) && proposedRequests.add(request))
             .toList();
     if (newCauses.isEmpty()) {
       reply.reply(new EngineEndNoted());
@@ -93,13 +98,13 @@
         0,
         new QuarantineRequests(newCauses),
         committed -> {
-          proposed.removeAll(newCauses);
+          proposedRequests.removeAll(newCauses);
           reply.reply(new EngineEndNoted());
         },
         clock);
   }
 
-  /** Releases requests that were quarantined before the actual causes beside them were found. */
+  /** Releases quarantined requests whose crashes are now explained by other requests. */
   private void releaseExonerated(List<RequestFingerprint> causes) {
     List<RequestFingerprint> exonerated =
         state.quarantine().requests().stream()
@@ -110,25 +115,25 @@
     }
   }
 
-  /** Expires old crashes, and releases requests after {@link #QUARANTINE_DURATION_MS}. */
+  /** Forgets old crashes, and releases requests after {@link #QUARANTINE_DURATION_MS}. */
   void onStep(long nowMs) {
     if (nowMs < nextStepMs) {
       return;
     }
     nextStepMs = nowMs + STEP_INTERVAL_MS;
     detector.expire(nowMs);
-    List<RequestFingerprint> quarantined = state.quarantine().requests();
-    quarantinedSinceMs.keySet().retainAll(quarantined);
-    List<RequestFingerprint> expired = new ArrayList<>();
-    for (RequestFingerprint request : quarantined) {
+    List<RequestFingerprint> quarantinedRequests = state.quarantine().requests();
+    quarantinedSinceMs.keySet().retainAll(quarantinedRequests);
+    List<RequestFingerprint> expiredRequests = new ArrayList<>();
+    for (RequestFingerprint request : quarantinedRequests) {
       long sinceMs = quarantinedSinceMs.computeIfAbsent(request, key -> nowMs);
       if (nowMs - sinceMs > QUARANTINE_DURATION_MS) {
-        expired.add(request);
+        expiredRequests.add(request);
       }
     }
-    if (!expired.isEmpty()) {
-      release(expired, "held for long enough");
-      expired.forEach(detector::clear);
+    if (!expiredRequests.isEmpty()) {
+      release(expiredRequests, "held for long enough");
+      expiredRequests.forEach(detector::clear);
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/RouteTableValidator.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/RouteTableValidator.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Validates a configuration before it is accepted. */
+/** Validates the configurations that operators send. */
 final class RouteTableValidator {
   private RouteTableValidator() {}
 
@@ -35,14 +35,14 @@
   }
 
   private static Optional<String> findTenantProblem(RouteTable table) {
-    Map<String, String> owners = new HashMap<>();
+    Map<String, String> ownerByKeyDigest = new HashMap<>();
     Set<String> names = new HashSet<>();
     for (CallerTenant tenant : table.tenants()) {
       if (!names.add(tenant.name())) {
         return Optional.of("tenant " + tenant.name() + " is declared twice");
       }
       for (String digest : tenant.keyDigests()) {
-        String other = owners.putIfAbsent(digest, tenant.name());
+        String other = ownerByKeyDigest.putIfAbsent(digest, tenant.name());
         if (other != null && !other.equals(tenant.name())) {
           return Optional.of("tenants " + other + " and " + tenant.name() + " share a key");
         }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
@@ -14,7 +14,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Enforces the rate limits of tenants on the leading coordinator; runs on the consensus thread. */
+/**
+ * Enforces the rate limits of tenants on the leading coordinator; runs on the consensus thread.
+ *
+ * <p>Gateways admit requests on their own and report them in heartbeats. A tenant near its limit is
+ * contended: the leader then admits its requests one by one.
+ */
 final class TenantAdmission {
   private final GroupRuntime group;
   private final FleetStateMachine state;
@@ -23,6 +28,8 @@
   /**
    * Creates an admission control that knows no gateway yet.
    *
+   * @param group the replicated group of the coordinators
+   * @param state the replicated fleet state, which contains the limits
    * @param limitWindowMs time window of the limits
    */
   TenantAdmission(GroupRuntime group, FleetStateMachine state, long limitWindowMs) {
@@ -31,17 +38,17 @@
     this.ledger = new TenantLedger(limitWindowMs);
   }
 
-  /** Discards all state, when the leadership changes. */
+  /** Discards all reports and admissions; called when the leadership changes. */
   void clear() {
     ledger.clear();
   }
 
-  /** Removes gateways that were silent for longer than the window of the limits. */
-  void expire(long nowMs) {
+  /** Removes gateways that have been silent for longer than the window of the limits. */
+  void removeSilentGateways(long nowMs) {
     ledger.expire(nowMs);
   }
 
-  /** Records what a gateway has admitted, and returns the tenants whose requests need admission. */
+  /** Records the requests that a gateway has admitted, and returns the contended tenants. */
   List<String> onHeartbeat(FleetProcess sender, List<TenantUse> uses, long nowMs) {
     if (sender.role() != FleetRole.GATEWAY) {
       return List.of();
@@ -53,7 +60,9 @@
   /**
    * Admits or rejects one request of a contended tenant.
    *
-   * @param collectionDone whether all gateways had time to report to this leader
+   * @param request the request of a gateway for admission
+   * @param collectionDone whether all gateways have had time to report to this leader
+   * @param nowMs the current time
    */
   Message decide(AdmissionRequest request, boolean collectionDone, long nowMs) {
     if (!group.isLeading()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
@@ -7,16 +7,17 @@
 import java.util.Objects;
 
 /**
- * A keyed list with numbered changes, so that a reader is sent only what it lacks.
+ * A keyed list with numbered changes, so that readers can be sent only the changes since their last
+ * read.
  *
- * @param <V> the type of the entries; equal entries are no change
+ * @param <V> the type of the entries; replacing an entry by an equal one is no change
  */
 final class VersionedList<V> {
   private static final int MAX_REMOVALS = 1_024;
 
   private record Entry<V>(V value, long sequence) {}
 
-  /** What a reader lacks: changes, or the full list. */
+  /** Changes since a sequence number, or all entries if {@code full}. */
   record Delta<V>(boolean full, List<V> changed, List<String> removed, long sequence) {}
 
   private final Map<String, Entry<V>> entries = new HashMap<>();
@@ -24,7 +25,7 @@
   private long sequence;
   private long removalsDroppedUpTo;
 
-  /** Adds or replaces an entry; returns whether that is a change. */
+  /** Adds or replaces an entry; returns false if it equals the previous one. */
   boolean put(String key, V value) {
     Entry<V> previous = entries.get(key);
     if (previous != null && Objects.equals(previous.value(), value)) {
@@ -84,8 +85,8 @@
     }
     if (!full) {
       removals.forEach(
-          (key, at) -> {
-            if (at > readerSequence) {
+          (key, removalSequence) -> {
+            if (removalSequence > readerSequence) {
               removed.add(key);
             }
           });
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -175,7 +175,7 @@
       }
       return;
     }
-    if (success && currentCall.call().hasRequestId() && !response.signed()) {
+    if (success && currentCall.call().hasRequestId() && !response.stamped()) {
       abortCall("a success without a signature");
       return;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -215,7 +215,7 @@
       logRefusal(request, "no configuration yet", known);
       double random = ThreadLocalRandom.current().nextDouble();
       long retryAfterMs =
-          StartupRetryDelay.retryAfterMs(startProgress.get(), request.deadlineMs(), random);
+          StartupRetryDelay.retryAfterMs(startProgress.get(), request.maxWaitMs(), random);
       Refusals.unavailable(exchange, "no configuration yet", retryAfterMs);
       return;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -62,10 +62,10 @@
     TenantLimiter limiter =
         new TenantLimiter(eventLoop, contacts.client(), fleet.name(), life, fleet.limitWindowMs());
     follower =
-        contacts.follower(
+        contacts.createFollower(
             eventLoop,
             () -> new FleetFollower.SelfReport(describe(life), false, null, limiter.tenantUses()));
-    follower.onContention(limiter::onContendedTenants);
+    follower.setContentionListener(limiter::onContendedTenants);
     JobsGroupLocator jobs = new JobsGroupLocator(pool, RetryTimer.on(eventLoops), follower::view);
     RequestMetrics metrics = new RequestMetrics();
     QuarantiningTransport watch = createEngineWatch(eventLoop);
@@ -88,7 +88,7 @@
       gateway.onPeriodicCheck(loadExchange::openIfNeeded);
       gateway.onCallStarted(loadExchange::onCallStarted);
     }
-    follower.onChange(view -> onChange(view, watch));
+    follower.setChangeListener(view -> onChange(view, watch));
     callerServer =
         resources.push(
             new HttpServer(
@@ -139,7 +139,7 @@
   private QuarantiningTransport createEngineWatch(EventLoop eventLoop) {
     EngineCrashReporter reporter =
         new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
-    follower.onNewLeader(reporter::onNewLeader);
+    follower.setNewLeaderListener(reporter::onNewLeader);
     NettyEngineTransport transport = new NettyEngineTransport(eventLoop, adapter.engines());
     EngineLivenessProbe liveness = new EngineLivenessProbe(eventLoop, transport, adapter.engines());
     return new QuarantiningTransport(
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -85,8 +85,8 @@
     this.budget = new AttemptBudget(route, shared.settings().maxSends());
     this.log = new RequestLog(request.requestId(), route.name(), budget);
     long waitMs = route.timeoutMs();
-    if (request.deadlineMs() > 0) {
-      waitMs = Math.min(waitMs, request.deadlineMs());
+    if (request.maxWaitMs() > 0) {
+      waitMs = Math.min(waitMs, request.maxWaitMs());
     }
     this.deadlineMs = nowMs + Math.max(1, waitMs - shared.settings().responseMarginMs());
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/CandidateOrder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/CandidateOrder.java
@@ -6,17 +6,15 @@
 /**
  * Selects the candidate to ask while no leader is known. Thread-safe.
  *
- * <p>Processes start at different candidates, so that the load of a simultaneous start is spread
- * over all of them.
+ * <p>Processes start at different candidates, which spreads the load of a simultaneous start.
  */
 final class CandidateOrder {
-  private final AtomicInteger next;
+  private final AtomicInteger nextIndex;
 
-  private CandidateOrder(int first) {
-    this.next = new AtomicInteger(first);
+  private CandidateOrder(int firstIndex) {
+    this.nextIndex = new AtomicInteger(firstIndex);
   }
 
-  /** Creates an order that starts with the first candidate. */
   static CandidateOrder fromFirst() {
     return new CandidateOrder(0);
   }
@@ -28,11 +26,12 @@
 
   /** Returns the candidate to ask; empty if there is none. */
   String current(List<String> candidates) {
-    return candidates.isEmpty() ? "" : candidates.get(Math.floorMod(next.get(), candidates.size()));
+    return candidates.isEmpty()
+        ? ""
+        : candidates.get(Math.floorMod(nextIndex.get(), candidates.size()));
   }
 
-  /** Moves on to the next candidate. */
   void advance() {
-    next.incrementAndGet();
+    nextIndex.incrementAndGet();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/CoordinatorContacts.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/CoordinatorContacts.java
@@ -11,15 +11,15 @@
 import java.util.function.Supplier;
 
 /**
- * The coordinators that a process may contact: the seeds in its settings and those learned since,
- * as seeds may be gone or unreachable.
+ * The coordinators that a process may contact: the seeds in its settings and, as these may be gone
+ * or unreachable, the coordinators in its view of the fleet.
  */
 public final class CoordinatorContacts {
   private final GroupClient client;
   private volatile List<String> seeds;
   private volatile FleetFollower follower;
 
-  /** Creates the contacts of a process with these settings. */
+  /** Creates contacts that know the seeds only. */
   public CoordinatorContacts(FleetSettings settings, PeerPool pool, EventLoopGroup eventLoops) {
     this.seeds = settings.seedAddresses();
     CandidateOrder order = CandidateOrder.forProcess(settings.name());
@@ -31,13 +31,13 @@
     return client;
   }
 
-  /** Replaces the seeds after a change of the settings. */
-  public void setSeeds(List<String> changed) {
-    seeds = List.copyOf(changed);
+  public void setSeeds(List<String> newSeeds) {
+    seeds = List.copyOf(newSeeds);
   }
 
-  /** Creates the follower that reports this process to the coordinators. */
-  public FleetFollower follower(EventLoop eventLoop, Supplier<FleetFollower.SelfReport> self) {
+  /** Creates the follower whose view provides further coordinators; call once. */
+  public FleetFollower createFollower(
+      EventLoop eventLoop, Supplier<FleetFollower.SelfReport> self) {
     follower = new FleetFollower(eventLoop, client, self);
     return follower;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetFollower.java
@@ -28,15 +28,15 @@
  * Reports this process to the coordinators and updates its view of the fleet from their answers.
  *
  * <p>A process that cannot reach the coordinators continues with its last view. It never returns to
- * an older configuration. All state belongs to one event loop; the {@link Section} may be read by
- * any thread.
+ * an older configuration. Any thread may call the methods marked as thread-safe; all other state
+ * belongs to one event loop.
  */
 public final class FleetFollower implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(FleetFollower.class);
   private static final long CALL_TIMEOUT_MS = 900;
   private static final long ATTEMPT_TIMEOUT_MS = 500;
 
-  /** What the process reports about itself, created for each heartbeat. */
+  /** The content of a heartbeat that describes the process; created for each heartbeat. */
   public record SelfReport(
       FleetProcess process,
       boolean mayFound,
@@ -50,12 +50,12 @@
 
   private final EventLoop eventLoop;
   private final GroupClient coordinators;
-  private final Supplier<SelfReport> self;
+  private final Supplier<SelfReport> selfReport;
   private final Section<FleetView> view = new Section<>(FleetView.EMPTY);
   private final Map<String, EngineInstance> engines = new HashMap<>();
   private final Map<String, FleetProcess> processes = new HashMap<>();
-  private Consumer<FleetView> listener = changed -> {};
-  private Consumer<List<String>> contentionListener = contended -> {};
+  private Consumer<FleetView> changeListener = ignored -> {};
+  private Consumer<List<String>> contentionListener = ignored -> {};
   private Runnable newLeaderListener = () -> {};
   private boolean enginesKnown;
   private long engineEpoch = FleetUpdate.NO_LEADERS_EPOCH;
@@ -69,10 +69,11 @@
   private boolean closed;
 
   /** Creates a follower; {@link #start} starts reporting. */
-  public FleetFollower(EventLoop eventLoop, GroupClient coordinators, Supplier<SelfReport> self) {
+  public FleetFollower(
+      EventLoop eventLoop, GroupClient coordinators, Supplier<SelfReport> selfReport) {
     this.eventLoop = eventLoop;
     this.coordinators = coordinators;
-    this.self = self;
+    this.selfReport = selfReport;
   }
 
   private static long processStartNs() {
@@ -93,9 +94,12 @@
     return freshness.isConfirmed(System.nanoTime());
   }
 
-  /** Whether the leader has answered a report that was sent in the last {@code ms}. Thread-safe. */
-  public boolean isConfirmedWithin(long ms) {
-    return freshness.isConfirmedWithin(ms, System.nanoTime());
+  /**
+   * Whether the leader has answered a report that was sent in the last {@code maxAgeMs}.
+   * Thread-safe.
+   */
+  public boolean isConfirmedWithin(long maxAgeMs) {
+    return freshness.isConfirmedWithin(maxAgeMs, System.nanoTime());
   }
 
   /**
@@ -106,47 +110,46 @@
     return view().isComplete() && freshness.isUsable(System.nanoTime());
   }
 
-  /** Returns the progress of this process in getting a view of the fleet. Thread-safe. */
+  /** Returns how far this process has got in obtaining a view of the fleet. Thread-safe. */
   public StartProgress startProgress() {
     return freshness.startProgress(createdNs, System.nanoTime());
   }
 
   /** Sets a listener that is called on the event loop after each change; call before the start. */
-  public void onChange(Consumer<FleetView> changeListener) {
-    listener = changeListener;
+  public void setChangeListener(Consumer<FleetView> listener) {
+    changeListener = listener;
   }
 
   /**
    * Sets a listener for the tenants near their limits, called on the event loop at each answer of a
    * leader; call before the start.
    */
-  public void onContention(Consumer<List<String>> listener) {
+  public void setContentionListener(Consumer<List<String>> listener) {
     contentionListener = listener;
   }
 
   /** Sets a listener for new leaders, called on the event loop; call before the start. */
-  public void onNewLeader(Runnable listener) {
+  public void setNewLeaderListener(Runnable listener) {
     newLeaderListener = listener;
   }
 
-  /** Starts reporting. */
   public void start() {
-    eventLoop.execute(this::report);
+    eventLoop.execute(this::reportPeriodically);
   }
 
-  /** Sends a report immediately, for a change that others should learn soon. */
+  /** Sends an additional report immediately, so that others learn of a change soon. Thread-safe. */
   public void reportNow() {
-    eventLoop.execute(this::send);
+    eventLoop.execute(this::sendReport);
   }
 
-  private void report() {
+  private void reportPeriodically() {
     if (closed) {
       return;
     }
-    send()
+    sendReport()
         .whenComplete(
             (done, failure) ->
-                eventLoop.schedule(this::report, intervalMs(), TimeUnit.MILLISECONDS));
+                eventLoop.schedule(this::reportPeriodically, intervalMs(), TimeUnit.MILLISECONDS));
   }
 
   private long intervalMs() {
@@ -155,8 +158,8 @@
     return reportInterval.intervalMs(followsLeader, System.nanoTime());
   }
 
-  private java.util.concurrent.CompletableFuture<Void> send() {
-    SelfReport report = self.get();
+  private java.util.concurrent.CompletableFuture<Void> sendReport() {
+    SelfReport report = selfReport.get();
     RouteTable routes = view().routes();
     FleetHeartbeat heartbeat =
         new FleetHeartbeat(
@@ -198,14 +201,14 @@
   }
 
   /**
-   * Handles the last-known state of a coordinator. That coordinator may be cut off from a leader
-   * that others know, so another one is asked next.
+   * Handles the last-known state of a coordinator. Asks another one next, since this one may be cut
+   * off from a leader that others know.
    */
   private void onLastKnown(FleetUpdate update) {
     coordinators.tryNextCandidate();
     freshness.onLastKnownReceived(System.nanoTime());
-    boolean newer = update.routes() != null && isNewer(update.routes());
-    if (newer && !freshness.hasLeaderAnswered()) {
+    boolean hasNewerRoutes = update.routes() != null && isNewer(update.routes());
+    if (hasNewerRoutes && !freshness.hasLeaderAnswered()) {
       applyUpdate(update);
     }
   }
@@ -215,9 +218,9 @@
   }
 
   private void applyUpdate(FleetUpdate update) {
-    boolean newRoutes = update.routes() != null && isNewer(update.routes());
-    RouteTable routes = newRoutes ? update.routes() : view().routes();
-    boolean changed = newRoutes;
+    boolean hasNewRoutes = update.routes() != null && isNewer(update.routes());
+    RouteTable routes = hasNewRoutes ? update.routes() : view().routes();
+    boolean changed = hasNewRoutes;
     changed |= applyEngines(update.engines());
     changed |= applyProcesses(update.processes());
     FleetView previous = view();
@@ -234,21 +237,24 @@
     if (!changed && next.equals(previous)) {
       return;
     }
-    if (newRoutes) {
+    if (hasNewRoutes) {
       boolean fromLeader = !update.isLastKnown();
       EVENTS.log(EventCode.ROUTES_UPDATED, "version", routes.version(), "from_leader", fromLeader);
     }
     view.publish(next);
-    listener.accept(next);
+    changeListener.accept(next);
   }
 
-  /** Returns the newer list: coordinators that restarted may have saved different ones. */
+  /**
+   * Returns the received list unless it is a saved one that is not newer: coordinators may have
+   * saved different ones.
+   */
   private QuarantineList mergeQuarantine(FleetUpdate update) {
     QuarantineList current = view().quarantine();
     QuarantineList received = update.quarantine();
-    boolean older =
+    boolean keepsCurrent =
         received == null || (update.isLastKnown() && received.version() <= current.version());
-    return older ? current : received;
+    return keepsCurrent ? current : received;
   }
 
   private boolean isNewer(RouteTable routes) {
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
@@ -23,7 +23,8 @@
  * @param processes the processes by name
  * @param jobsFounders the jobs groups and their first members
  * @param jobsGroups the jobs groups as last reported by their leaders
- * @param assignedGroup the group that this process is assigned to, for a store
+ * @param assignedGroup the jobs group of this process if it is a store; {@link
+ *     FleetProcess#NO_GROUP} if it has none
  * @param leavingMembers ids of stores that are being retired
  * @param quarantine the requests that must not reach engines
  */
@@ -53,19 +54,18 @@
     return routes != null && engines != null;
   }
 
-  /** Returns the processes with a role. */
   public List<FleetProcess> withRole(FleetRole role) {
     return processes.values().stream().filter(process -> process.role() == role).toList();
   }
 
-  /** Returns the store with this machine name. */
-  public Optional<FleetProcess> store(String name) {
+  /** Finds a store by the name of its machine. */
+  public Optional<FleetProcess> findStore(String name) {
     return withRole(FleetRole.STORE).stream()
         .filter(process -> process.name().equals(name))
         .findFirst();
   }
 
-  /** Returns the first members of a jobs group; empty if it is not founded. */
+  /** Returns the first members of a jobs group; empty before it is founded. */
   public Optional<GroupConfiguration> foundersOf(int group) {
     return jobsFounders.stream()
         .filter(founders -> founders.group() == group)
@@ -81,7 +81,7 @@
         .findFirst();
   }
 
-  /** Returns all known members of a jobs group, current and initial. */
+  /** Returns the current and the first members of a jobs group, as far as known. */
   public Set<Member> knownMembersOf(int group) {
     Set<Member> members = new LinkedHashSet<>();
     reportedMembersOf(group).ifPresent(known -> members.addAll(known.members()));
@@ -89,7 +89,9 @@
     return members;
   }
 
-  /** Returns the addresses at which a member of a jobs group may answer, the likely ones first. */
+  /**
+   * Returns the addresses of a jobs group: its members, then other stores that report the group.
+   */
   public List<String> addressesOf(int group) {
     Set<String> addresses = new LinkedHashSet<>();
     Optional<GroupConfiguration> members = reportedMembersOf(group).or(() -> foundersOf(group));
--- a/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
@@ -16,8 +16,8 @@
 /**
  * Sends messages to the current leader of one group.
  *
- * <p>A message is retried until its deadline, one attempt at a time; the group's commands are
- * idempotent. Thread-safe.
+ * <p>A message is retried until its deadline, one attempt at a time, so the commands of the group
+ * must be idempotent. Thread-safe.
  */
 public final class GroupClient {
   private static final long RETRY_DELAY_MS = 60;
@@ -31,6 +31,8 @@
   /**
    * Creates a client that tries the first candidate first.
    *
+   * @param pool the connections to the candidates
+   * @param timer schedules retries
    * @param candidates addresses of processes that may know the leader
    */
   public GroupClient(PeerPool pool, RetryTimer timer, Supplier<List<String>> candidates) {
@@ -46,7 +48,7 @@
     this.order = order;
   }
 
-  /** Sends {@code message}; the future completes within {@code timeoutMs} or shortly after. */
+  /** Sends {@code message}; the future completes at most slightly later than {@code timeoutMs}. */
   public CompletableFuture<Result<Message, GroupCallError>> call(
       Message message, long timeoutMs, long attemptTimeoutMs) {
     CompletableFuture<Result<Message, GroupCallError>> outcome = new CompletableFuture<>();
@@ -60,13 +62,16 @@
     return leaderAddress;
   }
 
-  /** Sends the next message to another candidate, after an answer that came from no leader. */
+  /**
+   * Forgets the leader, so that the next call tries another candidate; used when no leader
+   * answered.
+   */
   void tryNextCandidate() {
     leaderAddress = "";
     order.advance();
   }
 
-  private String target() {
+  private String selectTarget() {
     String leader = leaderAddress;
     if (!leader.isEmpty()) {
       return leader;
@@ -81,7 +86,7 @@
     order.advance();
   }
 
-  /** One call with its attempts, which never overlap. */
+  /** A call with its attempts, which never overlap. */
   private final class Call {
     private final Message message;
     private final long deadlineNs;
@@ -107,7 +112,7 @@
         outcome.complete(Result.err(new GroupCallError(lastReason, mayHaveRun)));
         return;
       }
-      String target = target();
+      String target = selectTarget();
       Optional<PeerClient> client = pool.client(target);
       if (client.isEmpty()) {
         onTargetFailed(target);
--- a/fleet/src/main/java/io/pathdeck/fleet/member/JobsPlacement.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/JobsPlacement.java
@@ -3,8 +3,8 @@
 /**
  * Maps batch jobs to jobs groups.
  *
- * <p>The number of groups is fixed when they are founded, so that a job is always found in the
- * group that accepted it.
+ * <p>The number of groups is fixed when they are founded, so that a job always maps to the group
+ * that accepted it.
  */
 public final class JobsPlacement {
   private JobsPlacement() {}
@@ -12,6 +12,7 @@
   /**
    * Returns the number of the job's group, from 1.
    *
+   * @param jobId the id of the job
    * @param groups the number of groups, at least one
    */
   public static int groupOf(String jobId, int groups) {
--- a/fleet/src/main/java/io/pathdeck/fleet/member/PeerPool.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/PeerPool.java
@@ -19,7 +19,6 @@
   private final Map<String, PeerClient> clients = new ConcurrentHashMap<>();
   private final Map<Integer, String> addresses = new ConcurrentHashMap<>();
 
-  /** Creates an empty pool. */
   public PeerPool(EventLoopGroup eventLoops, TransportTls tls, FrameCompression compression) {
     this.eventLoops = eventLoops;
     this.tls = tls;
@@ -42,16 +41,15 @@
     }
   }
 
-  /** Returns the address of a member, if known. */
   public Optional<String> addressOf(int memberId) {
     return Optional.ofNullable(addresses.get(memberId));
   }
 
-  /** Returns the connection to {@code address}; empty if the address is invalid. */
+  /** Returns the client of {@code address}, created at the first call; empty if it is invalid. */
   public Optional<PeerClient> client(String address) {
-    PeerClient known = clients.get(address);
-    if (known != null) {
-      return Optional.of(known);
+    PeerClient existing = clients.get(address);
+    if (existing != null) {
+      return Optional.of(existing);
     }
     return HostPort.parse(address)
         .map(
--- a/fleet/src/main/java/io/pathdeck/fleet/member/StartProgress.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/StartProgress.java
@@ -1,12 +1,13 @@
 package io.pathdeck.fleet.member;
 
 /**
- * The progress of a starting process in getting a view of the fleet.
+ * How far a starting process has got in obtaining a view of the fleet.
  *
+ * @param phase the current phase
  * @param ageMs how long the phase has lasted
  */
 public record StartProgress(Phase phase, long ageMs) {
-  /** What the process has received so far. */
+  /** The phases in their usual order. */
   public enum Phase {
     /** No coordinator has sent any state. */
     NO_COORDINATOR,
--- a/fleet/src/main/java/io/pathdeck/fleet/member/ViewFreshness.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/ViewFreshness.java
@@ -11,27 +11,27 @@
   static final long CONFIRMATION_VALID_MS = 1_500;
 
   /**
-   * How long a process past its startup may use last-known state: less than a new leader and its
-   * first newer configuration take at the least.
+   * How long a process past its startup may use last-known state: a new leader cannot put a newer
+   * configuration in force sooner.
    */
   static final long LAST_KNOWN_VALID_MS = 400;
 
   /**
-   * How long after the start of its process a gateway may use last-known state that coordinators
-   * without a leader repeat. Callers expect the configuration in force from 4 s after the start of
-   * a machine on; the rest is for the time until the process starts.
+   * How long after its start a process may use last-known state that coordinators without a leader
+   * repeat. Callers expect the configuration in force 4 s after the start of the machine, which
+   * includes the time until the process starts.
    */
   static final long STARTUP_PERIOD_MS = 3_000;
 
   /**
-   * Longest time between repetitions: an attempt of 500 ms without an answer, the delay after it,
-   * and the interval of reports.
+   * Maximum time between repetitions of last-known state; tolerates one unanswered attempt to
+   * report.
    */
   static final long LAST_KNOWN_REPEAT_TIMEOUT_MS = 700;
 
   /**
-   * Longest use of repeated last-known state: an election of replicas that have waited already,
-   * spread over 600 ms, its messages, and two reports.
+   * How long repeated last-known state may be used after it was first received; covers one
+   * election.
    */
   static final long LAST_KNOWN_MAX_MS = 900;
 
@@ -43,7 +43,7 @@
   private volatile long lastKnownLatestNs;
   private volatile boolean lastKnownReceived;
 
-  /** Creates the freshness of an unknown view. */
+  /** Creates the state of a process that has received no view yet. */
   ViewFreshness(long processStartNs) {
     this.processStartNs = processStartNs;
   }
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Records last-known state, sent or repeated by a coordinator that knows no leader. */
+  /** Records that a coordinator without a leader sent its last-known state, possibly again. */
   void onLastKnownReceived(long nowNs) {
     lastKnownLatestNs = nowNs;
     if (!lastKnownReceived) {
@@ -71,7 +71,7 @@
     return everConfirmed;
   }
 
-  /** Returns the progress of the startup; {@code createdNs} is when the process began to ask. */
+  /** Returns the progress of the startup; {@code createdNs} is when the follower was created. */
   StartProgress startProgress(long createdNs, long nowNs) {
     if (everConfirmed) {
       long ageMs = TimeUnit.NANOSECONDS.toMillis(nowNs - firstConfirmedNs);
@@ -83,7 +83,7 @@
     return new StartProgress(phase, TimeUnit.NANOSECONDS.toMillis(nowNs - sinceNs));
   }
 
-  /** Whether the view may be used. */
+  /** Whether a leader has ever answered, or last-known state is recent enough. */
   boolean isUsable(long nowNs) {
     return everConfirmed || (lastKnownReceived && isLastKnownValid(nowNs));
   }
@@ -91,21 +91,22 @@
   private boolean isLastKnownValid(long nowNs) {
     long ageNs = nowNs - lastKnownFirstNs;
     boolean justReceived = ageNs < millisToNanos(LAST_KNOWN_VALID_MS);
-    boolean starting =
+    boolean inStartup =
         nowNs - processStartNs < millisToNanos(STARTUP_PERIOD_MS)
             && ageNs < millisToNanos(LAST_KNOWN_MAX_MS);
-    boolean repeated = nowNs - lastKnownLatestNs < millisToNanos(LAST_KNOWN_REPEAT_TIMEOUT_MS);
-    return justReceived || (starting && repeated);
+    boolean repeatedRecently =
+        nowNs - lastKnownLatestNs < millisToNanos(LAST_KNOWN_REPEAT_TIMEOUT_MS);
+    return justReceived || (inStartup && repeatedRecently);
   }
 
-  /** Whether the leader has answered recently. */
+  /** Whether the leader has answered a report of the last {@link #CONFIRMATION_VALID_MS}. */
   boolean isConfirmed(long nowNs) {
     return isConfirmedWithin(CONFIRMATION_VALID_MS, nowNs);
   }
 
-  /** Whether the leader has answered a report that was sent in the last {@code ms}. */
-  boolean isConfirmedWithin(long ms, long nowNs) {
-    return everConfirmed && nowNs - lastConfirmedNs < millisToNanos(ms);
+  /** Whether the leader has answered a report that was sent in the last {@code maxAgeMs}. */
+  boolean isConfirmedWithin(long maxAgeMs, long nowNs) {
+    return everConfirmed && nowNs - lastConfirmedNs < millisToNanos(maxAgeMs);
   }
 
   private static long millisToNanos(long ms) {
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/FleetMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/FleetMetrics.java
@@ -15,13 +15,13 @@
 public final class FleetMetrics {
   private FleetMetrics() {}
 
-  /** Registers the metrics of a process's view of the fleet. */
+  /** Registers gauges of a process's view of the fleet. */
   public static void bindView(MeterRegistry registry, FleetFollower follower) {
     Gauge.builder("pathdeck.routes.version", follower, FleetMetrics::routesVersion)
         .register(registry);
     Gauge.builder("pathdeck.routes.confirmed", follower, source -> source.isConfirmed() ? 1 : 0)
         .register(registry);
-    Gauge.builder("pathdeck.engines.known", follower, FleetMetrics::enginesKnown)
+    Gauge.builder("pathdeck.engines.known", follower, FleetMetrics::countKnownEngines)
         .register(registry);
     Gauge.builder("pathdeck.processes.known", follower, source -> source.view().processes().size())
         .register(registry);
@@ -36,11 +36,11 @@
     return follower.view().routes() == null ? Double.NaN : follower.view().routes().version();
   }
 
-  private static double enginesKnown(FleetFollower follower) {
+  private static double countKnownEngines(FleetFollower follower) {
     return follower.view().engines() == null ? 0 : follower.view().engines().size();
   }
 
-  /** Registers the metrics of a process's replicated group. */
+  /** Registers gauges of a process's replicated groups. */
   public static void bindGroup(MeterRegistry registry, Supplier<ControllerStatus> status) {
     registerGroupGauge(
         registry,
@@ -63,7 +63,7 @@
         view -> view.replication().entryBytesResent());
   }
 
-  /** Registers the number of dropped messages to other processes. */
+  /** Registers a counter of dropped messages to other processes. */
   public static void bindPeers(MeterRegistry registry, PeerPool pool) {
     FunctionCounter.builder("pathdeck.peer.messages.dropped", pool, PeerPool::droppedMessages)
         .register(registry);
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/MemberMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/MemberMetrics.java
@@ -14,7 +14,9 @@
 public final class MemberMetrics {
   private MemberMetrics() {}
 
-  /** Serves the metrics if the settings name an address; {@code resources} closes the endpoint. */
+  /**
+   * Serves the metrics if the settings contain an address; {@code resources} closes the endpoint.
+   */
   public static void serve(
       FleetSettings settings,
       EventLoopGroup eventLoops,
@@ -25,7 +27,7 @@
     serve(settings, eventLoops, follower, status, pool, resources, registry -> {});
   }
 
-  /** Serves the metrics together with those of the role, which {@code roleMetrics} registers. */
+  /** Serves the metrics together with those that {@code processMetrics} registers. */
   public static void serve(
       FleetSettings settings,
       EventLoopGroup eventLoops,
@@ -33,7 +35,7 @@
       Supplier<ControllerStatus> status,
       PeerPool pool,
       ResourceStack resources,
-      Consumer<MeterRegistry> roleMetrics) {
+      Consumer<MeterRegistry> processMetrics) {
     settings
         .metricsListen()
         .ifPresent(
@@ -46,7 +48,7 @@
                           FleetMetrics.bindView(registry, follower);
                           FleetMetrics.bindGroup(registry, status);
                           FleetMetrics.bindPeers(registry, pool);
-                          roleMetrics.accept(registry);
+                          processMetrics.accept(registry);
                         },
                         () -> status.get().isReady())));
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/MetricsEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/MetricsEndpoint.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * Serves the metrics of a process. It starts {@value #START_DELAY_MS} ms after it is created, on
- * its own thread, so as not to delay the start of the process; earlier counts are included.
+ * Serves the metrics of a process. Starts {@value #START_DELAY_MS} ms after its creation, on its
+ * own thread, so as not to delay the start of the process; earlier counts are included.
  */
 public final class MetricsEndpoint implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(MetricsEndpoint.class);
@@ -25,21 +25,21 @@
   private final HostPort address;
   private final EventLoopGroup eventLoops;
   private final Consumer<MeterRegistry> binder;
-  private final BooleanSupplier ready;
+  private final BooleanSupplier readiness;
   private final Thread starter = new Thread(this::serveAfterDelay, "metrics-start");
   private boolean closed;
   private AdminServer server;
 
-  /** Creates an endpoint; {@code binder} registers the metrics of the role. */
+  /** Creates an endpoint; {@code binder} registers the metrics of this process. */
   public MetricsEndpoint(
       HostPort address,
       EventLoopGroup eventLoops,
       Consumer<MeterRegistry> binder,
-      BooleanSupplier ready) {
+      BooleanSupplier readiness) {
     this.address = address;
     this.eventLoops = eventLoops;
     this.binder = binder;
-    this.ready = ready;
+    this.readiness = readiness;
     starter.setDaemon(true);
     starter.start();
   }
@@ -62,7 +62,7 @@
     PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     ProcessMetrics.bindTo(registry, EventCounts.SHARED);
     binder.accept(registry);
-    server = new AdminServer(address, eventLoops, registry, ready);
+    server = new AdminServer(address, eventLoops, registry, readiness);
   }
 
   @Override
--- a/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
@@ -86,10 +86,10 @@
     eventLoop = eventLoops.next();
     pool = resources.push(new PeerPool(eventLoops, tls, fleet.peerCompression()));
     contacts = new CoordinatorContacts(fleet, pool, eventLoops);
-    follower = contacts.follower(eventLoop, () -> selfReport(mayFound));
-    follower.onChange(this::onChange);
+    follower = contacts.createFollower(eventLoop, () -> selfReport(mayFound));
+    follower.setChangeListener(this::onChange);
     reporter = new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
-    follower.onNewLeader(reporter::onNewLeader);
+    follower.setNewLeaderListener(reporter::onNewLeader);
     Result<Void, StorageError> recovered = recoverReplica();
     if (!recovered.isOk()) {
       return recovered;
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelectionMetrics.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelectionMetrics.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class TestGatewaySelectionMetrics {
-  private static final GatewaySelector HALF = new GatewaySelector(0.5);
+  private static final GatewaySelector HALF_SELECTOR = new GatewaySelector(0.5);
 
   private static List<FleetProcess> zone(String zone, int count, double cores, boolean ready) {
     List<FleetProcess> gateways = new ArrayList<>();
@@ -29,22 +29,23 @@
     List<FleetProcess> gateways = zone("a", 4, 1, true);
     gateways.addAll(zone("a", 13, 0.25, true));
     gateways.addAll(zone("b", 20, 0.25, true));
-    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, true)).isEqualTo(4);
-    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, false)).isEqualTo(10);
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF_SELECTOR, true)).isEqualTo(4);
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF_SELECTOR, false)).isEqualTo(10);
   }
 
   @Test
   void ignoresGatewaysThatAreNotReady() {
     List<FleetProcess> gateways = zone("a", 4, 1, false);
     gateways.addAll(zone("a", 13, 0.25, true));
-    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, true)).isZero();
-    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF, false)).isEqualTo(7);
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF_SELECTOR, true)).isZero();
+    assertThat(GatewaySelectionMetrics.countSelected(gateways, HALF_SELECTOR, false)).isEqualTo(7);
   }
 
   @Test
   void gaugesSurviveGarbageCollection() {
     SimpleMeterRegistry registry = new SimpleMeterRegistry();
-    GatewaySelectionMetrics.bind(registry, new AtomicReference<>(FleetView.EMPTY)::get, HALF);
+    GatewaySelectionMetrics.bind(
+        registry, new AtomicReference<>(FleetView.EMPTY)::get, HALF_SELECTOR);
     System.gc();
     for (String by : List.of("size", "order")) {
       assertThat(registry.get("pathdeck.gateways.named").tag("by", by).gauge().value()).isZero();
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelector.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestGatewaySelector.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class TestGatewaySelector {
-  private static final GatewaySelector HALF = new GatewaySelector(0.5);
+  private static final GatewaySelector HALF_SELECTOR = new GatewaySelector(0.5);
 
-  private static final double SMALL = 0.25;
-  private static final double LARGE = 1;
+  private static final double SMALL_CORES = 0.25;
+  private static final double LARGE_CORES = 1;
 
   private static List<FleetProcess> gateways(int count) {
     return gateways("front-", count, FleetProcess.CORES_UNKNOWN);
@@ -33,8 +33,8 @@
   }
 
   private static List<FleetProcess> zone(int large, int small) {
-    List<FleetProcess> gateways = gateways("small-", small, SMALL);
-    gateways.addAll(gateways("large-", large, LARGE));
+    List<FleetProcess> gateways = gateways("small-", small, SMALL_CORES);
+    gateways.addAll(gateways("large-", large, LARGE_CORES));
     return gateways;
   }
 
@@ -49,35 +49,37 @@
 
   @Test
   void smallFleetSelectsAll() {
-    assertThat(HALF.select(gateways(GatewaySelector.MIN_SELECTED)))
+    assertThat(HALF_SELECTOR.select(gateways(GatewaySelector.MIN_SELECTED)))
         .hasSize(GatewaySelector.MIN_SELECTED);
   }
 
   @Test
   void selectsSameShareInAnyOrder() {
     List<FleetProcess> ready = gateways(47);
-    List<FleetProcess> selected = HALF.select(ready);
+    List<FleetProcess> selected = HALF_SELECTOR.select(ready);
     Collections.shuffle(ready, new Random(1));
     assertThat(selected).hasSize(24);
-    assertThat(HALF.select(ready)).isEqualTo(selected);
+    assertThat(HALF_SELECTOR.select(ready)).isEqualTo(selected);
   }
 
   @Test
   void replacesLostGatewayAndKeepsOthers() {
     List<FleetProcess> ready = gateways(20);
-    List<FleetProcess> selected = HALF.select(ready);
+    List<FleetProcess> selected = HALF_SELECTOR.select(ready);
     ready.remove(selected.get(3));
-    List<FleetProcess> after = HALF.select(ready);
-    assertThat(after).hasSize(10).doesNotContain(selected.get(3));
-    assertThat(after)
-        .containsAll(selected.stream().filter(g -> !g.equals(selected.get(3))).toList());
+    List<FleetProcess> selectedAfterLoss = HALF_SELECTOR.select(ready);
+    assertThat(selectedAfterLoss).hasSize(10).doesNotContain(selected.get(3));
+    assertThat(selectedAfterLoss)
+        .containsAll(
+            selected.stream().filter(gateway -> !gateway.equals(selected.get(3))).toList());
   }
 
   @Test
   void equalSizesSelectLikeUnknownSizes() {
     for (int count : new int[] {1, 5, 6, 13, 47}) {
-      List<String> expected = names(HALF.select(gateways(count)));
-      assertThat(names(HALF.select(gateways("front-", count, SMALL)))).isEqualTo(expected);
+      List<String> expected = names(HALF_SELECTOR.select(gateways(count)));
+      assertThat(names(HALF_SELECTOR.select(gateways("front-", count, SMALL_CORES))))
+          .isEqualTo(expected);
     }
   }
 
@@ -89,30 +91,30 @@
   void oneUnknownSizeDisablesSelectionBySize() {
     List<FleetProcess> ready = zone(4, 13);
     ready.addAll(gateways(1));
-    assertThat(HALF.select(ready)).hasSize(9);
+    assertThat(HALF_SELECTOR.select(ready)).hasSize(9);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {3, 12, 13, 16, 25})
   void selectsOnlyLargeGatewaysWhenSufficient(int small) {
-    List<FleetProcess> selected = HALF.select(zone(4, small));
+    List<FleetProcess> selected = HALF_SELECTOR.select(zone(4, small));
     assertThat(selected).hasSize(4);
-    assertThat(countWithCores(selected, LARGE)).isEqualTo(4);
+    assertThat(countWithCores(selected, LARGE_CORES)).isEqualTo(4);
   }
 
   @Test
   void selectsNoMoreLargeGatewaysThanNeeded() {
-    assertThat(HALF.select(zone(10, 13))).hasSize(GatewaySelector.MIN_SELECTED_BY_SIZE);
-    assertThat(HALF.select(zone(10, 40))).hasSize(7);
+    assertThat(HALF_SELECTOR.select(zone(10, 13))).hasSize(GatewaySelector.MIN_SELECTED_BY_SIZE);
+    assertThat(HALF_SELECTOR.select(zone(10, 40))).hasSize(7);
   }
 
   @Test
   void mixedSizesSelectSameInAnyOrder() {
     for (int large = 0; large <= 4; large++) {
       List<FleetProcess> ready = zone(large, 13);
-      List<FleetProcess> selected = HALF.select(ready);
+      List<FleetProcess> selected = HALF_SELECTOR.select(ready);
       Collections.shuffle(ready, new Random(large));
-      assertThat(HALF.select(ready)).isEqualTo(selected);
+      assertThat(HALF_SELECTOR.select(ready)).isEqualTo(selected);
     }
   }
 
@@ -120,9 +122,9 @@
   void smallGatewaysReplaceLostLargeOnes() {
     for (int large = 0; large < 4; large++) {
       List<FleetProcess> ready = zone(large, 13);
-      List<FleetProcess> selected = HALF.select(ready);
+      List<FleetProcess> selected = HALF_SELECTOR.select(ready);
       int usualCount = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
-      assertThat(countWithCores(selected, LARGE)).isEqualTo(large);
+      assertThat(countWithCores(selected, LARGE_CORES)).isEqualTo(large);
       assertThat(selected).hasSize(usualCount);
     }
   }
@@ -132,9 +134,9 @@
     for (int large = 0; large <= 6; large++) {
       for (int small = 4; small <= 40; small++) {
         List<FleetProcess> ready = zone(large, small);
-        List<FleetProcess> selected = HALF.select(ready);
+        List<FleetProcess> selected = HALF_SELECTOR.select(ready);
         int usualCount = Math.max(GatewaySelector.MIN_SELECTED, (ready.size() + 1) / 2);
-        double needed = Math.min(usualCount, ready.size()) * SMALL;
+        double needed = Math.min(usualCount, ready.size()) * SMALL_CORES;
         assertThat(capacityInCores(selected)).isGreaterThanOrEqualTo(needed);
         assertThat(selected.size()).isLessThanOrEqualTo(usualCount);
         assertThat(capacityInCores(selected.subList(2, selected.size())))
@@ -145,9 +147,9 @@
 
   @Test
   void fewGatewaysOfAnySizeAreAllSelected() {
-    assertThat(HALF.select(zone(1, 2))).hasSize(3);
-    assertThat(HALF.select(zone(2, 3))).hasSize(5);
-    assertThat(HALF.select(List.of())).isEmpty();
+    assertThat(HALF_SELECTOR.select(zone(1, 2))).hasSize(3);
+    assertThat(HALF_SELECTOR.select(zone(2, 3))).hasSize(5);
+    assertThat(HALF_SELECTOR.select(List.of())).isEmpty();
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupFounding.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupFounding.java
@@ -14,10 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** More stores make more groups, not larger ones. */
 class TestJobsGroupFounding {
-  private static final int TWO_LOSSES = 5;
-  private static final int ONE_LOSS = 3;
+  private static final int MIN_SIZE_FOR_TWO_LOSSES = 5;
+  private static final int MIN_SIZE_FOR_ONE_LOSS = 3;
 
   private static List<FleetProcess> stores(int count, int zones) {
     List<FleetProcess> stores = new ArrayList<>();
@@ -35,25 +34,29 @@
 
   @Test
   void groupHasOneSpareMember() {
-    assertThat(sizes(JobsGroupFounding.form(stores(12, 5), TWO_LOSSES))).containsExactly(6, 6);
-    assertThat(sizes(JobsGroupFounding.form(stores(45, 5), TWO_LOSSES)))
+    assertThat(sizes(JobsGroupFounding.form(stores(12, 5), MIN_SIZE_FOR_TWO_LOSSES)))
+        .containsExactly(6, 6);
+    assertThat(sizes(JobsGroupFounding.form(stores(45, 5), MIN_SIZE_FOR_TWO_LOSSES)))
         .containsExactly(6, 6, 6, 6, 6, 6, 6);
   }
 
   @Test
   void surplusStoresJoinNoGroup() {
-    assertThat(sizes(JobsGroupFounding.form(stores(10, 3), TWO_LOSSES))).containsExactly(6);
+    assertThat(sizes(JobsGroupFounding.form(stores(10, 3), MIN_SIZE_FOR_TWO_LOSSES)))
+        .containsExactly(6);
   }
 
   @Test
   void fewStoresMakeOneGroup() {
-    assertThat(sizes(JobsGroupFounding.form(stores(3, 3), ONE_LOSS))).containsExactly(3);
-    assertThat(sizes(JobsGroupFounding.form(stores(4, 4), ONE_LOSS))).containsExactly(4);
+    assertThat(sizes(JobsGroupFounding.form(stores(3, 3), MIN_SIZE_FOR_ONE_LOSS)))
+        .containsExactly(3);
+    assertThat(sizes(JobsGroupFounding.form(stores(4, 4), MIN_SIZE_FOR_ONE_LOSS)))
+        .containsExactly(4);
   }
 
   @Test
   void groupsAreDisjointAndNumberedFromOne() {
-    List<JobsGroupFounders> groups = JobsGroupFounding.form(stores(12, 5), TWO_LOSSES);
+    List<JobsGroupFounders> groups = JobsGroupFounding.form(stores(12, 5), MIN_SIZE_FOR_TWO_LOSSES);
     Set<Integer> seen = new HashSet<>();
     for (JobsGroupFounders group : groups) {
       for (Member member : group.configuration().members()) {
@@ -64,12 +67,12 @@
     assertThat(groups).extracting(JobsGroupFounders::group).containsExactly(1, 2);
   }
 
-  /** The loss of a zone that holds half of a group would stop the group. */
+  /** A group would stop if it lost a zone that holds half of its members. */
   @ParameterizedTest
   @ValueSource(ints = {2, 3, 4, 5, 6})
   void groupSpansAllZones(int zones) {
     List<FleetProcess> stores = stores(12, zones);
-    for (JobsGroupFounders group : JobsGroupFounding.form(stores, TWO_LOSSES)) {
+    for (JobsGroupFounders group : JobsGroupFounding.form(stores, MIN_SIZE_FOR_TWO_LOSSES)) {
       long spread =
           group.configuration().members().stream()
               .map(member -> stores.get(member.id() - 1).zone())
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupRegistry.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestJobsGroupRegistry.java
@@ -14,18 +14,18 @@
 import org.junit.jupiter.api.Test;
 
 class TestJobsGroupRegistry {
-  private static final int TARGET = 3;
+  private static final int TARGET_SIZE = 3;
   private static final int NEW_STORE = 40;
   private static final long NOW_MS = 10_000;
 
-  private final JobsGroupRegistry registry = new JobsGroupRegistry(TARGET);
-  private final List<FleetProcess> alive = new ArrayList<>();
-  private final List<JobsGroupFounders> founded = List.of(founders(1, 10), founders(2, 20));
+  private final JobsGroupRegistry registry = new JobsGroupRegistry(TARGET_SIZE);
+  private final List<FleetProcess> liveStores = new ArrayList<>();
+  private final List<JobsGroupFounders> foundedGroups = List.of(founders(1, 10), founders(2, 20));
 
   TestJobsGroupRegistry() {
-    for (JobsGroupFounders group : founded) {
+    for (JobsGroupFounders group : foundedGroups) {
       for (Member member : group.configuration().members()) {
-        alive.add(store(member.id(), group.group()));
+        liveStores.add(store(member.id(), group.group()));
       }
     }
   }
@@ -47,15 +47,15 @@
   }
 
   private void removeStore(int id) {
-    alive.removeIf(store -> store.memberId() == id);
+    liveStores.removeIf(store -> store.memberId() == id);
   }
 
   private int groupFor(int id, long nowMs) {
     FleetProcess asking = store(id, FleetProcess.NO_GROUP);
-    if (!alive.contains(asking)) {
-      alive.add(asking);
+    if (!liveStores.contains(asking)) {
+      liveStores.add(asking);
     }
-    return registry.groupFor(asking, founded, alive, Set.of(), nowMs);
+    return registry.groupFor(asking, foundedGroups, liveStores, Set.of(), nowMs);
   }
 
   @Test
@@ -65,7 +65,7 @@
 
   @Test
   void storeKeepsReportedGroup() {
-    assertThat(registry.groupFor(store(NEW_STORE, 2), founded, alive, Set.of(), NOW_MS))
+    assertThat(registry.groupFor(store(NEW_STORE, 2), foundedGroups, liveStores, Set.of(), NOW_MS))
         .isEqualTo(2);
   }
 
@@ -97,7 +97,7 @@
 
   @Test
   void storeWaitsEvenBeforeFoundersReport() {
-    alive.replaceAll(store -> store(store.memberId(), FleetProcess.NO_GROUP));
+    liveStores.replaceAll(store -> store(store.memberId(), FleetProcess.NO_GROUP));
     assertThat(groupFor(NEW_STORE, NOW_MS)).isEqualTo(FleetProcess.NO_GROUP);
   }
 
@@ -124,14 +124,15 @@
   void retiringStoreGetsNoGroup() {
     removeStore(11);
     FleetProcess leaving = store(NEW_STORE, FleetProcess.NO_GROUP);
-    assertThat(registry.groupFor(leaving, founded, alive, Set.of(NEW_STORE), NOW_MS))
+    assertThat(registry.groupFor(leaving, foundedGroups, liveStores, Set.of(NEW_STORE), NOW_MS))
         .isEqualTo(FleetProcess.NO_GROUP);
   }
 
   @Test
   void retiringMemberIsReplaced() {
     FleetProcess newcomer = store(NEW_STORE, FleetProcess.NO_GROUP);
-    assertThat(registry.groupFor(newcomer, founded, alive, Set.of(20), NOW_MS)).isEqualTo(2);
+    assertThat(registry.groupFor(newcomer, foundedGroups, liveStores, Set.of(20), NOW_MS))
+        .isEqualTo(2);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownFleet.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownFleet.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class TestLastKnownFleet {
-  private static final String FILE = "last-known-fleet";
+  private static final String FILE_NAME = "last-known-fleet";
   private static final long VERSION = 7;
   private static final double CORES = 0.27;
   private static final long WRITE_TIMEOUT_MS = 5_000;
@@ -52,11 +52,11 @@
   }
 
   private void write(FleetView view) throws InterruptedException {
-    try (LastKnownFleet known = new LastKnownFleet(folder())) {
-      known.start();
-      known.offer(view);
+    try (LastKnownFleet lastKnownFleet = new LastKnownFleet(folder())) {
+      lastKnownFleet.start();
+      lastKnownFleet.saveAsync(view);
       long deadline = System.currentTimeMillis() + WRITE_TIMEOUT_MS;
-      while (!Files.exists(path.resolve(FILE)) && System.currentTimeMillis() < deadline) {
+      while (!Files.exists(path.resolve(FILE_NAME)) && System.currentTimeMillis() < deadline) {
         Thread.sleep(10);
       }
     }
@@ -64,13 +64,13 @@
 
   @Test
   void emptyFolderRecoversNothing() {
-    assertThat(new LastKnownFleet(folder()).recovered()).isEmpty();
+    assertThat(new LastKnownFleet(folder()).recoveredUpdate()).isEmpty();
   }
 
   @Test
   void recoversViewAfterRestart() throws InterruptedException {
     write(view());
-    FleetUpdate update = new LastKnownFleet(folder()).recovered().orElseThrow();
+    FleetUpdate update = new LastKnownFleet(folder()).recoveredUpdate().orElseThrow();
     assertThat(update.routes().version()).isEqualTo(VERSION);
     assertThat(update.engines().changed()).extracting(EngineInstance::id).containsExactly("e");
     assertThat(update.processes().changed()).extracting(FleetProcess::name).containsExactly("g");
@@ -81,7 +81,7 @@
   @Test
   void recoveredListsHaveNoLeaderEpoch() throws InterruptedException {
     write(view());
-    FleetUpdate update = new LastKnownFleet(folder()).recovered().orElseThrow();
+    FleetUpdate update = new LastKnownFleet(folder()).recoveredUpdate().orElseThrow();
     assertThat(update.engines().epoch()).isEqualTo(FleetUpdate.NO_LEADERS_EPOCH);
     assertThat(update.engines().full()).isTrue();
     assertThat(update.processes().epoch()).isEqualTo(FleetUpdate.NO_LEADERS_EPOCH);
@@ -90,22 +90,22 @@
   @Test
   void damagedFileIsIgnored() throws IOException, InterruptedException {
     write(view());
-    String whole = Files.readString(path.resolve(FILE));
-    for (String damaged : List.of("", "%%%", whole.substring(0, whole.length() / 2))) {
-      Files.writeString(path.resolve(FILE), damaged);
-      assertThat(new LastKnownFleet(folder()).recovered()).isEmpty();
+    String validText = Files.readString(path.resolve(FILE_NAME));
+    for (String damagedText : List.of("", "%%%", validText.substring(0, validText.length() / 2))) {
+      Files.writeString(path.resolve(FILE_NAME), damagedText);
+      assertThat(new LastKnownFleet(folder()).recoveredUpdate()).isEmpty();
     }
   }
 
   @Test
   void incompleteFileIsIgnored() throws IOException, InterruptedException {
     write(view());
-    FleetUpdate whole = new LastKnownFleet(folder()).recovered().orElseThrow();
+    FleetUpdate complete = new LastKnownFleet(folder()).recoveredUpdate().orElseThrow();
     FleetUpdate withoutEngines =
         new FleetUpdate(
-            whole.routes(),
+            complete.routes(),
             null,
-            whole.processes(),
+            complete.processes(),
             List.of(),
             List.of(),
             0,
@@ -113,7 +113,7 @@
             List.of(),
             null);
     byte[] encoded = ObjectCodec.encode(withoutEngines);
-    Files.writeString(path.resolve(FILE), Base64.getEncoder().encodeToString(encoded));
-    assertThat(new LastKnownFleet(folder()).recovered()).isEmpty();
+    Files.writeString(path.resolve(FILE_NAME), Base64.getEncoder().encodeToString(encoded));
+    assertThat(new LastKnownFleet(folder()).recoveredUpdate()).isEmpty();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownResponder.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestLastKnownResponder.java
@@ -67,8 +67,8 @@
 
   @Test
   void sendsNoListsToUpToDateProcess() {
-    FleetHeartbeat holder = heartbeat(VERSION, NO_EPOCH, LIST_SEQUENCE);
-    FleetUpdate answer = responder.answerWithoutLeader(holder, SERVING_SINCE_MS).orElseThrow();
+    FleetHeartbeat upToDate = heartbeat(VERSION, NO_EPOCH, LIST_SEQUENCE);
+    FleetUpdate answer = responder.answerWithoutLeader(upToDate, SERVING_SINCE_MS).orElseThrow();
     assertThat(answer.isLastKnown()).isTrue();
     assertThat(answer.routes()).isNull();
     assertThat(answer.engines().full()).isFalse();
@@ -80,8 +80,8 @@
 
   @Test
   void sendsEverythingToProcessWithOlderRoutes() {
-    FleetHeartbeat holder = heartbeat(VERSION - 1, NO_EPOCH, LIST_SEQUENCE);
-    assertThat(responder.answerWithoutLeader(holder, SERVING_SINCE_MS).orElseThrow().routes())
+    FleetHeartbeat outdated = heartbeat(VERSION - 1, NO_EPOCH, LIST_SEQUENCE);
+    assertThat(responder.answerWithoutLeader(outdated, SERVING_SINCE_MS).orElseThrow().routes())
         .isNotNull();
   }
 
@@ -106,8 +106,8 @@
     assertThat(delta.full()).isTrue();
     assertThat(delta.changed()).containsExactly(ENGINE);
     assertThat(delta.epoch()).isEqualTo(NO_EPOCH);
-    FleetHeartbeat holder = heartbeat(VERSION, delta.epoch(), delta.sequence());
-    assertThat(responder.enginesBeforeFirstRead(holder, SERVING_SINCE_MS)).isNull();
+    FleetHeartbeat upToDate = heartbeat(VERSION, delta.epoch(), delta.sequence());
+    assertThat(responder.enginesBeforeFirstRead(upToDate, SERVING_SINCE_MS)).isNull();
   }
 
   @Test
@@ -120,11 +120,11 @@
 
   @Test
   void leaderAnswerIsNotMarkedLastKnown() {
-    FleetUpdate last = lastKnown();
+    FleetUpdate saved = lastKnown();
     FleetUpdate answer =
         new FleetUpdate(
             null,
-            last.engines(),
+            saved.engines(),
             null,
             List.of(),
             List.of(),
@@ -137,8 +137,10 @@
 
   @Test
   void sendsNothingWithoutSavedState() {
-    LastKnownResponder nothing = new LastKnownResponder(Optional.empty(), SERVING_SINCE_MS);
-    assertThat(nothing.answerWithoutLeader(newProcessHeartbeat(), SERVING_SINCE_MS)).isEmpty();
-    assertThat(nothing.enginesBeforeFirstRead(newProcessHeartbeat(), SERVING_SINCE_MS)).isNull();
+    LastKnownResponder emptyResponder = new LastKnownResponder(Optional.empty(), SERVING_SINCE_MS);
+    assertThat(emptyResponder.answerWithoutLeader(newProcessHeartbeat(), SERVING_SINCE_MS))
+        .isEmpty();
+    assertThat(emptyResponder.enginesBeforeFirstRead(newProcessHeartbeat(), SERVING_SINCE_MS))
+        .isNull();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestRouteTableValidator.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestRouteTableValidator.java
@@ -64,8 +64,8 @@
     RouteSpec noTimeout = route("a", "/a/", 0, VALID_TARGET);
     assertThat(RouteTableValidator.findProblem(table(noTimeout))).isPresent();
     RouteSpec first = route("a", "/a/", 1, VALID_TARGET);
-    RouteSpec samePlace = route("b", "/a/", 1, VALID_TARGET);
-    assertThat(RouteTableValidator.findProblem(table(first, samePlace))).isPresent();
+    RouteSpec sameHostAndPrefix = route("b", "/a/", 1, VALID_TARGET);
+    assertThat(RouteTableValidator.findProblem(table(first, sameHostAndPrefix))).isPresent();
     assertThat(RouteTableValidator.findProblem(table(route("a", "/a", 1, VALID_TARGET))))
         .isPresent();
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestVersionedList.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/coordinator/TestVersionedList.java
@@ -16,7 +16,7 @@
   void deltasReproduceTheList(@ForAll List<@IntRange(min = -5, max = 5) Integer> changes) {
     VersionedList<Integer> list = new VersionedList<>();
     Set<String> expected = new HashSet<>();
-    Set<String> reader = new HashSet<>();
+    Set<String> readerKeys = new HashSet<>();
     long sequence = 0;
     boolean hasList = false;
     for (int change : changes) {
@@ -31,13 +31,13 @@
       if (change % 2 == 0) {
         VersionedList.Delta<Integer> delta = list.since(sequence, hasList);
         if (delta.full()) {
-          reader.clear();
+          readerKeys.clear();
         }
-        delta.changed().forEach(value -> reader.add("k" + value));
-        delta.removed().forEach(reader::remove);
+        delta.changed().forEach(value -> readerKeys.add("k" + value));
+        delta.removed().forEach(readerKeys::remove);
         sequence = delta.sequence();
         hasList = true;
-        assertThat(reader).isEqualTo(expected);
+        assertThat(readerKeys).isEqualTo(expected);
       }
     }
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestCandidateOrder.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestCandidateOrder.java
@@ -12,12 +12,13 @@
 
   @Test
   void processesBeginAtDifferentCandidates() {
-    Map<String, Integer> asked = new HashMap<>();
+    Map<String, Integer> processCountByCandidate = new HashMap<>();
     for (int i = 0; i < 18; i++) {
-      asked.merge(CandidateOrder.forProcess("gateway-" + i).current(CANDIDATES), 1, Integer::sum);
+      processCountByCandidate.merge(
+          CandidateOrder.forProcess("gateway-" + i).current(CANDIDATES), 1, Integer::sum);
     }
-    assertThat(asked).hasSize(CANDIDATES.size());
-    assertThat(asked.values()).allMatch(processes -> processes >= 4);
+    assertThat(processCountByCandidate).hasSize(CANDIDATES.size());
+    assertThat(processCountByCandidate.values()).allMatch(processes -> processes >= 4);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestJobsPlacement.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestJobsPlacement.java
@@ -9,7 +9,7 @@
   private static final int GROUPS = 7;
   private static final int JOBS = 70_000;
 
-  /** The group of an id must never change, or accepted jobs would not be found. */
+  /** Guards against a change of the mapping, after which accepted jobs would not be found. */
   @Test
   void groupOfAnIdIsFixed() {
     assertThat(JobsPlacement.groupOf("955d0aecbae3714a", GROUPS)).isEqualTo(1);
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
@@ -6,6 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class TestReportInterval {
+  /** Negative, as values of {@link System#nanoTime} may be. */
   private static final long START_NS = -5;
 
   private final ReportInterval interval = new ReportInterval(START_NS);
