--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -63,11 +63,11 @@
         new TenantLimiter(
             eventLoop, contacts.client(), fleet.name(), startNs, fleet.limitWindowMs());
     follower =
-        contacts.follower(
+        contacts.createFollower(
             eventLoop,
             () ->
                 new FleetFollower.SelfReport(describe(startNs), false, null, limiter.tenantUses()));
-    follower.onContention(limiter::onContendedTenants);
+    follower.setContentionListener(limiter::onContendedTenants);
     JobsGroupLocator jobs = new JobsGroupLocator(pool, RetryTimer.on(eventLoops), follower::view);
     RequestMetrics metrics = new RequestMetrics();
     QuarantiningTransport transport = createEngineTransport(eventLoop);
@@ -90,7 +90,7 @@
       gateway.onPeriodicCheck(loadExchange::openIfNeeded);
       gateway.onCallStarted(loadExchange::onCallStarted);
     }
-    follower.onChange(view -> onChange(view, transport));
+    follower.setChangeListener(view -> onChange(view, transport));
     callerServer =
         resources.push(
             new HttpServer(
@@ -142,7 +142,7 @@
   private QuarantiningTransport createEngineTransport(EventLoop eventLoop) {
     EngineCrashReporter reporter =
         new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
-    follower.onNewLeader(reporter::onNewLeader);
+    follower.setNewLeaderListener(reporter::onNewLeader);
     NettyEngineTransport transport = new NettyEngineTransport(eventLoop, adapter.engines());
     EngineLivenessProbe liveness = new EngineLivenessProbe(eventLoop, transport, adapter.engines());
     return new QuarantiningTransport(
