--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/DirectoryProtocol.java
@@ -10,7 +10,7 @@
   /** A query from a caller; {@code zone} is the caller's zone, empty if not given. */
   record Query(String zone) {}
 
-  /** Parses a query; empty if the exchange is none. */
+  /** Parses a query; empty for other calls. */
   Optional<Query> read(HttpExchange exchange);
 
   /** Encodes addresses and how long callers may use them. */
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/OperatorRequest.java
@@ -20,6 +20,6 @@
   /** A request with invalid content; {@code reason} is returned to the operator. */
   record Invalid(String reason) implements OperatorRequest {}
 
-  /** A request that is no call of this protocol. */
+  /** A call that this protocol does not define. */
   record Unknown() implements OperatorRequest {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownResponder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/LastKnownResponder.java
@@ -17,8 +17,8 @@
  * <p>While no leader is known, a coordinator sends the whole state to processes that have no list
  * of engines from a leader. A leader that has not read the list of engines yet sends the last-known
  * list to processes without any. Neither answer carries a leader's epoch, so the leader later sends
- * the list that it reads in full. Both kinds of answers end soon after the start: later a newer
- * configuration may be in force, and engines may have moved.
+ * its own list in full. Both kinds of answers end soon after the start: later a newer configuration
+ * may be in force, and engines may have moved.
  */
 final class LastKnownResponder {
   /**
--- a/fleet/src/main/java/io/pathdeck/fleet/metrics/MetricsEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/metrics/MetricsEndpoint.java
@@ -16,7 +16,7 @@
 
 /**
  * Serves the metrics of a process. Starts {@value #START_DELAY_MS} ms after its creation, on its
- * own thread, so as not to delay the start of the process; earlier counts are included.
+ * own thread, to avoid delaying the start of the process; earlier counts are included.
  */
 public final class MetricsEndpoint implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(MetricsEndpoint.class);
