--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/TenantAdmission.java
@@ -47,7 +47,10 @@
       return List.of();
     }
     ledger.onHeartbeat(sender.name(), sender.incarnation(), uses, nowMs);
-    return state.routeTable().map(table -> ledger.contended(table.tenants())).orElse(List.of());
+    return state
+        .routeTable()
+        .map(table -> ledger.contendedTenants(table.tenants()))
+        .orElse(List.of());
   }
 
   /**
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
@@ -12,17 +12,17 @@
   private static final long NOT_RECEIVED = -1;
 
   private final EngineState engine;
-  private final long tokensToRead;
+  private final long prefillTokens;
   private final double estimatedLoad;
   private final long loadAgeMs;
   private final long sentMs;
-  private final StreamTiming eventTimes = new StreamTiming();
+  private final StreamTiming streamTiming = new StreamTiming();
   private boolean promptRead;
   private long firstBytesMs = NOT_RECEIVED;
 
   AttemptTracker(Placement placement, long nowMs) {
     this.engine = placement.engine();
-    this.tokensToRead = placement.prefillTokens();
+    this.prefillTokens = placement.prefillTokens();
     this.estimatedLoad = engine.estimatedLoad(nowMs);
     this.loadAgeMs = engine.loadAgeMs(nowMs);
     this.sentMs = nowMs;
@@ -49,7 +49,7 @@
 
   void begin() {
     engine.onStart(sentMs);
-    engine.onPromptSent(tokensToRead);
+    engine.onPromptSent(prefillTokens);
   }
 
   void onDataReceived(long nowMs) {
@@ -63,7 +63,7 @@
    */
   long onFirstBytes(long prefillTokensPerMs, EngineLoadReport report, long nowMs) {
     firstBytesMs = nowMs;
-    long prefillMs = tokensToRead / prefillTokensPerMs;
+    long prefillMs = prefillTokens / prefillTokensPerMs;
     long waitMs = Math.max(0, nowMs - sentMs - prefillMs);
     engine.onFirstBytes(waitMs, nowMs);
     if (report != null) {
@@ -89,12 +89,12 @@
 
   /** Records that a stream has reached {@code event}. */
   void onEvent(long event, long nowMs) {
-    eventTimes.onEvent(event, nowMs);
+    streamTiming.onEvent(event, nowMs);
   }
 
   /** Records a completed stream, whose event times show the engine's pace. */
   void onStreamCompleted(long nowMs) {
-    engine.pace().onStream(eventTimes.eventsAfterFirst(), eventTimes.spanMs(), nowMs);
+    engine.pace().onStream(streamTiming.eventsAfterFirst(), streamTiming.spanMs(), nowMs);
   }
 
   void end() {
@@ -105,7 +105,7 @@
   private void recordPromptRead() {
     if (!promptRead) {
       promptRead = true;
-      engine.onPrefillDone(tokensToRead);
+      engine.onPrefillDone(prefillTokens);
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
@@ -45,9 +45,9 @@
 final class BatchCalls {
   private static final EventLog EVENTS = EventLog.of(BatchCalls.class);
   private static final long SUBMIT_TIMEOUT_MS = 2_500;
-  private static final long READ_TIMEOUT_MS = 1_000;
+  private static final long QUERY_TIMEOUT_MS = 1_000;
   private static final long ATTEMPT_TIMEOUT_MS = 600;
-  private static final long MAX_WAIT_MS = 1_000;
+  private static final long MAX_RESULTS_WAIT_MS = 1_000;
   private static final long QUOTA_RETRY_AFTER_MS = 1_000;
   private static final long RETRY_AFTER_MS = 300;
   private static final int MAX_PAGE_BYTES = 900_000;
@@ -160,7 +160,7 @@
   }
 
   void readResults(HttpExchange exchange, CallerRequest.ReadResults call, String tenant) {
-    long waitMs = Math.max(0, Math.min(MAX_WAIT_MS, call.waitMs()));
+    long waitMs = Math.max(0, Math.min(MAX_RESULTS_WAIT_MS, call.waitMs()));
     query(
         exchange,
         call.jobId(),
@@ -230,7 +230,7 @@
     group
         .get()
         .client()
-        .call(message, READ_TIMEOUT_MS + waitMs, ATTEMPT_TIMEOUT_MS + waitMs)
+        .call(message, QUERY_TIMEOUT_MS + waitMs, ATTEMPT_TIMEOUT_MS + waitMs)
         .thenAccept(result -> callback.accept(result.map(reply -> ((QueryReply) reply).result())));
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -45,23 +45,23 @@
 
   private final CallerProtocol protocol;
   private final Supplier<FleetView> view;
-  private final BooleanSupplier usable;
+  private final BooleanSupplier configurationUsable;
   private final Supplier<StartProgress> startProgress;
   private final BooleanSupplier routesConfirmed;
-  private final BatchCalls batch;
+  private final BatchCalls batchCalls;
   private final TenantLimiter limiter;
   private final ForwardingContext context;
   private final TrafficSplit trafficSplit = new TrafficSplit();
   private CallerKeys keys = CallerKeys.NONE;
   private long keysVersion = RouteTable.NO_VERSION;
-  private boolean callersCompete;
+  private boolean hasTenantPolicies;
   private Runnable periodicCheck = () -> {};
   private Runnable callStartListener = () -> {};
 
   /**
    * Creates a gateway.
    *
-   * @param usable whether the known configuration may be used
+   * @param configurationUsable whether the known configuration may be used
    * @param startProgress the progress of the startup until it may be used
    * @param routesConfirmed whether the routes are known to be current; until then, a request
    *     without a route gets a retryable error instead of 404
@@ -70,20 +70,20 @@
       EventLoop eventLoop,
       CallerProtocol protocol,
       Supplier<FleetView> view,
-      BooleanSupplier usable,
+      BooleanSupplier configurationUsable,
       Supplier<StartProgress> startProgress,
       BooleanSupplier routesConfirmed,
-      BatchCalls batch,
+      BatchCalls batchCalls,
       TenantLimiter limiter,
       EngineTransport transport,
       EngineLoadBalancer loadBalancer,
       RequestMetrics metrics) {
     this.protocol = protocol;
     this.view = view;
-    this.usable = usable;
+    this.configurationUsable = configurationUsable;
     this.startProgress = startProgress;
     this.routesConfirmed = routesConfirmed;
-    this.batch = batch;
+    this.batchCalls = batchCalls;
     this.limiter = limiter;
     EngineTable engines = new EngineTable(REPORT_HALF_LIFE_MS);
     this.context =
@@ -109,7 +109,7 @@
       EventLoop eventLoop, EngineTable engines, QueueMetrics queueMetrics) {
     return new RequestDispatcher(
         engines,
-        new RequestDispatcher.QueueingRule(() -> callersCompete, EngineState::reportsPace),
+        new RequestDispatcher.QueueingRule(() -> hasTenantPolicies, EngineState::reportsPace),
         (delayMs, action) -> eventLoop.schedule(action, delayMs, TimeUnit.MILLISECONDS),
         () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()),
         queueMetrics);
@@ -121,12 +121,12 @@
   }
 
   /** Sets an action that runs on the event loop before each silence check. */
-  void onPeriodicCheck(Runnable action) {
+  void setPeriodicCheck(Runnable action) {
     periodicCheck = action;
   }
 
   /** Sets an action that runs on the event loop whenever a request is sent to an engine. */
-  void onCallStarted(Runnable listener) {
+  void setCallStartListener(Runnable listener) {
     callStartListener = listener;
   }
 
@@ -138,7 +138,7 @@
     if (newView.routes() != null && newView.routes().version() != keysVersion) {
       keysVersion = newView.routes().version();
       keys = CallerKeys.of(newView.routes());
-      callersCompete = QueueActivation.hasTenantPolicies(newView.routes());
+      hasTenantPolicies = QueueActivation.hasTenantPolicies(newView.routes());
     }
   }
 
@@ -158,13 +158,13 @@
   void handle(HttpExchange exchange) {
     CallerRequest call = protocol.read(exchange);
     if (call instanceof CallerRequest.Routed request) {
-      handleRequest(exchange, request);
+      routeRequest(exchange, request);
     } else if (call instanceof CallerRequest.ReadResults read) {
-      handleJobCall(exchange, read.key(), tenant -> batch.readResults(exchange, read, tenant));
+      handleJobCall(exchange, read.key(), tenant -> batchCalls.readResults(exchange, read, tenant));
     } else if (call instanceof CallerRequest.ReadItem read) {
-      handleJobCall(exchange, read.key(), tenant -> batch.readItem(exchange, read, tenant));
+      handleJobCall(exchange, read.key(), tenant -> batchCalls.readItem(exchange, read, tenant));
     } else if (call instanceof CallerRequest.EndJob end) {
-      handleJobCall(exchange, end.key(), tenant -> batch.end(exchange, end, tenant));
+      handleJobCall(exchange, end.key(), tenant -> batchCalls.end(exchange, end, tenant));
     } else if (call instanceof CallerRequest.Malformed malformed) {
       exchange.sendError(ApiError.invalid("bad_request", malformed.reason()));
     }
@@ -172,7 +172,7 @@
 
   private void handleJobCall(HttpExchange exchange, String key, Consumer<String> call) {
     boolean keysKnown = view.get().routes() != null;
-    if (!keysKnown || (keys.isRequired() && !usable.getAsBoolean())) {
+    if (!keysKnown || (keys.isRequired() && !configurationUsable.getAsBoolean())) {
       Refusals.unavailable(exchange, "no configuration yet", UNCONFIRMED_RETRY_AFTER_MS);
       return;
     }
@@ -212,9 +212,9 @@
         currentView.routes() == null ? "none" : currentView.routes().version());
   }
 
-  private void handleRequest(HttpExchange exchange, CallerRequest.Routed request) {
+  private void routeRequest(HttpExchange exchange, CallerRequest.Routed request) {
     FleetView currentView = view.get();
-    if (!usable.getAsBoolean()) {
+    if (!configurationUsable.getAsBoolean()) {
       logRefusal(request, "no configuration yet", currentView);
       double random = ThreadLocalRandom.current().nextDouble();
       long retryAfterMs =
@@ -233,18 +233,18 @@
       logRefusal(request, "no request id", currentView);
       exchange.sendError(ApiError.invalid("no_request_id", "the request has no id"));
     } else {
-      handleRouted(exchange, request, route.get(), currentView);
+      authenticateAndForward(exchange, request, route.get(), currentView);
     }
   }
 
-  private void handleRouted(
+  private void authenticateAndForward(
       HttpExchange exchange, CallerRequest.Routed request, RouteSpec route, FleetView currentView) {
     CallerIdentity caller = keys.identify(request.key(), route.anonymous());
     if (caller instanceof CallerIdentity.MissingOrUnknownKey) {
       logRefusal(request, "missing or unknown key", currentView);
       refuseUnknownKey(exchange);
     } else if (route.kind() == RouteKind.BATCH) {
-      batch.submit(exchange, request, route, caller.tenantName());
+      batchCalls.submit(exchange, request, route, caller.tenantName());
     } else if (caller instanceof CallerIdentity.Authenticated authenticated) {
       limiter.admit(
           authenticated.tenant(),
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -87,8 +87,8 @@
     LoadMetrics loadMetrics = new LoadMetrics();
     loadExchange = resources.push(createLoadExchange(eventLoop, startNs, loadMetrics));
     if (!fleet.tls().isEnabled()) {
-      gateway.onPeriodicCheck(loadExchange::openIfNeeded);
-      gateway.onCallStarted(loadExchange::onCallStarted);
+      gateway.setPeriodicCheck(loadExchange::openIfNeeded);
+      gateway.setCallStartListener(loadExchange::onCallStarted);
     }
     follower.onChange(view -> onChange(view, transport));
     callerServer =
@@ -106,7 +106,7 @@
             eventLoops,
             settings.limits(),
             Optional.empty(),
-            this::answerReadiness));
+            this::handleReadinessCheck));
     fleet
         .metricsListen()
         .ifPresent(
@@ -198,7 +198,7 @@
     return !stopping.get() && follower.isUsable();
   }
 
-  private void answerReadiness(HttpExchange exchange) {
+  private void handleReadinessCheck(HttpExchange exchange) {
     if (!exchange.path().equals(adapter.callers().readinessPath())) {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
     } else if (isReady()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
@@ -59,7 +59,7 @@
    * next itself.
    */
   private boolean makeRoom(Reservation requester) {
-    List<Evicted> evicted = new ArrayList<>();
+    List<EvictedReservation> evicted = new ArrayList<>();
     boolean fits = true;
     while (heldBytes > maxBytes && fits) {
       Optional<Reservation> candidate = evictionCandidate();
@@ -86,11 +86,11 @@
         .max(Comparator.comparingLong(bytesOfTenant).thenComparingLong(Reservation::bytes));
   }
 
-  private void notifyOwner(Evicted evicted) {
-    recordEviction(evicted.tenant(), evicted.bytes(), evicted.owner().giveUp());
+  private void notifyOwner(EvictedReservation evicted) {
+    recordBudgetReached(evicted.tenant(), evicted.bytes(), evicted.owner().giveUp());
   }
 
-  private void recordEviction(String tenant, long bytes, boolean rejected) {
+  private void recordBudgetReached(String tenant, long bytes, boolean rejected) {
     if (rejected) {
       metrics.onRejected();
     } else {
@@ -119,7 +119,7 @@
   }
 
   /** An evicted reservation and the owner that must free its memory. */
-  private record Evicted(String tenant, long bytes, HeldMemory.Owner owner) {}
+  private record EvictedReservation(String tenant, long bytes, HeldMemory.Owner owner) {}
 
   /**
    * The memory of one connection. After an eviction it refuses further bytes until it is released.
@@ -152,7 +152,7 @@
       }
       bodyBytes -= bytes;
       applyChange(this, -bytes);
-      recordEviction(tenant, bytes, true);
+      recordBudgetReached(tenant, bytes, true);
       return false;
     }
 
@@ -168,7 +168,7 @@
       }
       answerBytes -= bytes;
       applyChange(this, -bytes);
-      recordEviction(tenant, bytes, false);
+      recordBudgetReached(tenant, bytes, false);
       return false;
     }
 
@@ -194,8 +194,8 @@
       applyChange(this, -released);
     }
 
-    private Evicted evict() {
-      Evicted result = new Evicted(tenant, bytes(), owner);
+    private EvictedReservation evict() {
+      EvictedReservation result = new EvictedReservation(tenant, bytes(), owner);
       clear();
       owner = null;
       evicted = true;
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ReadPause.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ReadPause.java
@@ -21,7 +21,7 @@
   static final long MAX_PAUSE_MS = 1_500;
 
   private boolean paused;
-  private boolean exhausted;
+  private boolean maxPauseReached;
   private long pausedSinceMs;
 
   /**
@@ -31,11 +31,11 @@
   boolean update(long pendingBytes, long nowMs) {
     if (pendingBytes <= LOW_WATERMARK_BYTES) {
       paused = false;
-      exhausted = false;
+      maxPauseReached = false;
     } else if (paused && nowMs - pausedSinceMs >= MAX_PAUSE_MS) {
       paused = false;
-      exhausted = true;
-    } else if (!paused && !exhausted && pendingBytes > HIGH_WATERMARK_BYTES) {
+      maxPauseReached = true;
+    } else if (!paused && !maxPauseReached && pendingBytes > HIGH_WATERMARK_BYTES) {
       paused = true;
       pausedSinceMs = nowMs;
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -37,13 +37,13 @@
   /**
    * Decides whether requests are queued.
    *
-   * @param callersCompete whether the configuration lets callers compete
+   * @param hasTenantPolicies whether the configuration lets callers compete
    * @param reportsPace whether an engine reports its current pace
    */
-  record QueueingRule(BooleanSupplier callersCompete, Predicate<EngineState> reportsPace) {
+  record QueueingRule(BooleanSupplier hasTenantPolicies, Predicate<EngineState> reportsPace) {
     /** Returns whether requests to these engines are queued when all are full. */
     boolean appliesTo(List<EngineState> engines) {
-      return callersCompete.getAsBoolean() || engines.stream().anyMatch(reportsPace);
+      return hasTenantPolicies.getAsBoolean() || engines.stream().anyMatch(reportsPace);
     }
   }
 
@@ -56,7 +56,7 @@
   private static final class ServiceState {
     final RequestQueue<Dispatchable> queue = new RequestQueue<>(MAX_WAITING, MAX_WAITING_BYTES);
     final ServiceTimes times = new ServiceTimes();
-    final RetryAfterSchedule returnTimes = new RetryAfterSchedule();
+    final RetryAfterSchedule retryAfterSchedule = new RetryAfterSchedule();
   }
 
   private final EngineTable engines;
@@ -149,7 +149,7 @@
       ServiceState service, Dispatchable request, String reason, long expectedWaitMs) {
     long nowMs = clockMs.getAsLong();
     long timeLeftMs = request.attributes().deadlineMs() - nowMs;
-    long retryAfterMs = service.returnTimes.retryAfterMs(expectedWaitMs, timeLeftMs, nowMs);
+    long retryAfterMs = service.retryAfterSchedule.retryAfterMs(expectedWaitMs, timeLeftMs, nowMs);
     request.reject(reason, retryAfterMs);
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -84,11 +84,11 @@
     this.lastEventId = request.resumeAfter();
     this.budget = new AttemptBudget(route, context.settings().maxSends());
     this.log = new RequestLog(request.requestId(), route.name(), budget);
-    long waitMs = route.timeoutMs();
+    long timeoutMs = route.timeoutMs();
     if (request.deadlineMs() > 0) {
-      waitMs = Math.min(waitMs, request.deadlineMs());
+      timeoutMs = Math.min(timeoutMs, request.deadlineMs());
     }
-    this.deadlineMs = nowMs + Math.max(1, waitMs - context.settings().responseMarginMs());
+    this.deadlineMs = nowMs + Math.max(1, timeoutMs - context.settings().responseMarginMs());
   }
 
   private static long nowMs() {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestWork.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestWork.java
@@ -7,7 +7,7 @@
  */
 final class RequestWork {
   /** Engines generate output tokens one by one but process prompt tokens together. */
-  private static final double PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
+  private static final double OUTPUT_TOKEN_COST_IN_PROMPT_TOKENS = 10;
 
   /** Also applies to requests that state no tokens. */
   private static final double MIN_OUTPUT_TOKENS = 10;
@@ -16,7 +16,7 @@
 
   /** Returns the cost in output tokens. */
   static double of(CallerRequest.Routed request) {
-    double promptWork = request.promptTokens() / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
+    double promptWork = request.promptTokens() / OUTPUT_TOKEN_COST_IN_PROMPT_TOKENS;
     return MIN_OUTPUT_TOKENS + promptWork + request.outputTokens();
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/StartupRetryDelay.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/StartupRetryDelay.java
@@ -25,21 +25,21 @@
   static final long JITTER_MS = 600;
 
   /** Callers accept a delay of at most their time divided by this. */
-  private static final long DEADLINE_DIVISOR = 3;
+  private static final long TIMEOUT_DIVISOR = 3;
 
   private StartupRetryDelay() {}
 
   /**
    * Returns the delay until the retry.
    *
-   * @param deadlineMs how long the caller waits in total; 0 if unknown
+   * @param callerTimeoutMs how long the caller waits in total; 0 if unknown
    * @param random from 0 to 1, different for each caller
    */
-  static long retryAfterMs(StartProgress progress, long deadlineMs, double random) {
+  static long retryAfterMs(StartProgress progress, long callerTimeoutMs, double random) {
     long expectedMs = expectedMs(progress);
     long latestMs = expectedMs + JITTER_MS;
-    if (deadlineMs > 0) {
-      latestMs = Math.min(latestMs, Math.max(1, deadlineMs / DEADLINE_DIVISOR));
+    if (callerTimeoutMs > 0) {
+      latestMs = Math.min(latestMs, Math.max(1, callerTimeoutMs / TIMEOUT_DIVISOR));
     }
     long earliestMs = Math.min(expectedMs, latestMs - latestMs / 4);
     return earliestMs + Math.round(random * (latestMs - earliestMs));
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
@@ -45,18 +45,18 @@
 
   /** State of one tenant at this gateway. */
   private static final class TenantState {
-    final SlidingWindowCounter admitted;
+    final SlidingWindowCounter admittedRequests;
     int admittedAtLastUpdate;
     long refusedUntilMs = Long.MIN_VALUE;
 
     TenantState(long windowMs) {
-      admitted = new SlidingWindowCounter(windowMs);
+      admittedRequests = new SlidingWindowCounter(windowMs);
     }
   }
 
   private final long windowMs;
   private final Map<String, TenantState> tenants = new HashMap<>();
-  private Set<String> contended = Set.of();
+  private Set<String> contendedTenants = Set.of();
   private long lastUpdateMs;
 
   /**
@@ -70,7 +70,7 @@
   }
 
   public Decision decide(String tenant, long nowMs) {
-    if (!contended.contains(tenant)) {
+    if (!contendedTenants.contains(tenant)) {
       return mayAdmitLocally(tenant, nowMs) ? Decision.ADMIT : Decision.UNDECIDED;
     }
     TenantState state = tenants.get(tenant);
@@ -83,18 +83,18 @@
       return true;
     }
     TenantState state = tenant(tenant);
-    return state.admitted.total(nowMs) <= 2 * state.admittedAtLastUpdate;
+    return state.admittedRequests.total(nowMs) <= 2 * state.admittedAtLastUpdate;
   }
 
   /** Returns whether to admit a request after the leader did not respond to a query about it. */
   public boolean mayAdmitWithoutLeader(String tenant, long nowMs) {
     TenantState state = tenant(tenant);
-    return state.admitted.total(nowMs) < state.admittedAtLastUpdate;
+    return state.admittedRequests.total(nowMs) < state.admittedAtLastUpdate;
   }
 
   /** Records that a request was admitted and is sent to an engine. */
   public void onAdmitted(String tenant, long nowMs) {
-    tenant(tenant).admitted.add(nowMs);
+    tenant(tenant).admittedRequests.add(nowMs);
   }
 
   /** Records that the leader refused a request. */
@@ -103,11 +103,11 @@
   }
 
   /** Updates the contended tenants from the leader. */
-  public void onContendedTenants(List<String> nearLimit, long nowMs) {
-    contended = new HashSet<>(nearLimit);
+  public void onContendedTenants(List<String> tenantsNearLimit, long nowMs) {
+    contendedTenants = new HashSet<>(tenantsNearLimit);
     lastUpdateMs = nowMs;
     for (TenantState tenant : tenants.values()) {
-      tenant.admittedAtLastUpdate = tenant.admitted.total(nowMs);
+      tenant.admittedAtLastUpdate = tenant.admittedRequests.total(nowMs);
     }
   }
 
@@ -117,7 +117,7 @@
     Iterator<Map.Entry<String, TenantState>> entries = tenants.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<String, TenantState> entry = entries.next();
-      int admitted = entry.getValue().admitted.total(nowMs);
+      int admitted = entry.getValue().admittedRequests.total(nowMs);
       if (admitted > 0) {
         uses.add(new TenantUse(entry.getKey(), admitted));
       } else if (nowMs >= entry.getValue().refusedUntilMs) {
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
@@ -41,14 +41,14 @@
   /** State of one gateway. */
   private static final class GatewayState {
     long lastHeardMs;
-    Map<String, Integer> reported = Map.of();
+    Map<String, Integer> reportedByTenant = Map.of();
     final Map<String, Integer> grantedSinceReport = new HashMap<>();
   }
 
   private final long windowMs;
   private final Map<GatewayIncarnation, GatewayState> gateways = new HashMap<>();
-  private final Map<String, Integer> totals = new HashMap<>();
-  private final Set<String> contended = new HashSet<>();
+  private final Map<String, Integer> admittedByTenant = new HashMap<>();
+  private final Set<String> contendedTenants = new HashSet<>();
 
   /**
    * Creates an empty ledger.
@@ -62,8 +62,8 @@
   /** Clears the ledger when this coordinator becomes leader. */
   public void clear() {
     gateways.clear();
-    totals.clear();
-    contended.clear();
+    admittedByTenant.clear();
+    contendedTenants.clear();
   }
 
   /** Replaces a gateway's counts by those of its latest heartbeat. */
@@ -76,14 +76,15 @@
     state.grantedSinceReport.clear();
     Map<String, Integer> reported = new HashMap<>();
     uses.forEach(use -> reported.put(use.tenant(), use.admitted()));
-    state.reported = reported;
-    reported.forEach((tenant, admitted) -> totals.merge(tenant, admitted, Integer::sum));
+    state.reportedByTenant = reported;
+    reported.forEach((tenant, admitted) -> admittedByTenant.merge(tenant, admitted, Integer::sum));
   }
 
   private void subtract(GatewayState gateway) {
-    gateway.reported.forEach((tenant, admitted) -> totals.merge(tenant, -admitted, Integer::sum));
+    gateway.reportedByTenant.forEach(
+        (tenant, admitted) -> admittedByTenant.merge(tenant, -admitted, Integer::sum));
     gateway.grantedSinceReport.forEach(
-        (tenant, granted) -> totals.merge(tenant, -granted, Integer::sum));
+        (tenant, granted) -> admittedByTenant.merge(tenant, -granted, Integer::sum));
   }
 
   /** Removes gateways that were silent for a whole window. */
@@ -101,7 +102,7 @@
   }
 
   /** Returns the tenants whose requests gateways must ask the leader about. */
-  public List<String> contended(List<CallerTenant> tenants) {
+  public List<String> contendedTenants(List<CallerTenant> tenants) {
     List<String> names = new ArrayList<>();
     for (CallerTenant tenant : tenants) {
       if (tenant.isLimited() && updateContention(tenant)) {
@@ -112,15 +113,15 @@
   }
 
   private boolean updateContention(CallerTenant tenant) {
-    boolean wasContended = contended.contains(tenant.name());
+    boolean wasContended = contendedTenants.contains(tenant.name());
     double threshold =
         tenant.maxRequestsIn(windowMs)
             * (wasContended ? CONTENTION_END_SHARE : CONTENTION_START_SHARE);
-    boolean isContended = admitted(tenant.name()) >= threshold;
+    boolean isContended = admittedRequests(tenant.name()) >= threshold;
     if (isContended && !wasContended) {
-      contended.add(tenant.name());
+      contendedTenants.add(tenant.name());
     } else if (!isContended && wasContended) {
-      contended.remove(tenant.name());
+      contendedTenants.remove(tenant.name());
     }
     return isContended;
   }
@@ -128,7 +129,7 @@
   /** Admits one request at a gateway if the tenant stays within its limit. */
   public boolean tryAdmit(String gateway, long incarnation, CallerTenant tenant, long nowMs) {
     double max = tenant.maxRequestsIn(windowMs) * STALENESS_FACTOR + STALENESS_ALLOWANCE_REQUESTS;
-    if (admitted(tenant.name()) + 1 > max) {
+    if (admittedRequests(tenant.name()) + 1 > max) {
       return false;
     }
     GatewayState state =
@@ -136,12 +137,12 @@
             new GatewayIncarnation(gateway, incarnation), key -> new GatewayState());
     state.lastHeardMs = Math.max(state.lastHeardMs, nowMs);
     state.grantedSinceReport.merge(tenant.name(), 1, Integer::sum);
-    totals.merge(tenant.name(), 1, Integer::sum);
+    admittedByTenant.merge(tenant.name(), 1, Integer::sum);
     return true;
   }
 
   /** Returns the requests of a tenant that all gateways admitted in the window. */
-  public int admitted(String tenant) {
-    return totals.getOrDefault(tenant, 0);
+  public int admittedRequests(String tenant) {
+    return admittedByTenant.getOrDefault(tenant, 0);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
@@ -16,12 +16,12 @@
   static final long ACTIVE_MS = 3_000;
 
   /** The latest datagram of a peer. */
-  private static final class Received {
+  private static final class ReceivedDatagram {
     final LoadDatagram datagram;
     final long receivedMs;
     boolean counted = true;
 
-    Received(LoadDatagram datagram, long receivedMs) {
+    ReceivedDatagram(LoadDatagram datagram, long receivedMs) {
       this.datagram = datagram;
       this.receivedMs = receivedMs;
     }
@@ -36,17 +36,17 @@
     }
   }
 
-  private final Map<Long, Received> newest = new HashMap<>();
-  private final Map<Long, Integer> totals = new HashMap<>();
+  private final Map<Long, ReceivedDatagram> newestBySender = new HashMap<>();
+  private final Map<Long, Integer> callsByEngine = new HashMap<>();
   private Set<Long> knownPeers = Set.of();
 
   /** Sets the accepted senders, which also bounds the memory used. */
   void setKnownPeers(Set<Long> senders) {
     knownPeers = Set.copyOf(senders);
-    newest.entrySet().stream()
+    newestBySender.entrySet().stream()
         .filter(entry -> !knownPeers.contains(entry.getKey()))
         .forEach(entry -> subtractCalls(entry.getValue()));
-    newest.keySet().retainAll(knownPeers);
+    newestBySender.keySet().retainAll(knownPeers);
   }
 
   /**
@@ -55,7 +55,7 @@
    * counts until the new incarnation's next one.
    */
   boolean accept(LoadDatagram datagram, long nowMs) {
-    Received previous = newest.get(datagram.sender());
+    ReceivedDatagram previous = newestBySender.get(datagram.sender());
     boolean stale = previous != null && previous.supersedes(datagram);
     if (stale || !knownPeers.contains(datagram.sender())) {
       return false;
@@ -63,40 +63,40 @@
     if (previous != null) {
       subtractCalls(previous);
     }
-    newest.put(datagram.sender(), new Received(datagram, nowMs));
-    datagram.calls().forEach((engine, count) -> totals.merge(engine, count, Integer::sum));
+    newestBySender.put(datagram.sender(), new ReceivedDatagram(datagram, nowMs));
+    datagram.calls().forEach((engine, count) -> callsByEngine.merge(engine, count, Integer::sum));
     return true;
   }
 
   /** Removes expired counts. */
   void expire(long nowMs) {
-    for (Received received : newest.values()) {
+    for (ReceivedDatagram received : newestBySender.values()) {
       if (received.isExpired(nowMs)) {
         subtractCalls(received);
       }
     }
   }
 
-  private void subtractCalls(Received received) {
+  private void subtractCalls(ReceivedDatagram received) {
     if (received.counted) {
       received.counted = false;
       received.datagram.calls().forEach(this::subtract);
     }
   }
 
-  private void subtract(long engine, int count) {
-    totals.computeIfPresent(engine, (hash, sum) -> sum == count ? null : sum - count);
+  private void subtract(long engineHash, int count) {
+    callsByEngine.computeIfPresent(engineHash, (hash, sum) -> sum == count ? null : sum - count);
   }
 
   /** Returns the peers' in-flight calls at the engine incarnation with this hash. */
-  int callsAt(long engine) {
-    return totals.getOrDefault(engine, 0);
+  int callsAt(long engineHash) {
+    return callsByEngine.getOrDefault(engineHash, 0);
   }
 
   /** Returns the peers that have sent recently. */
   Set<Long> activePeers(long nowMs) {
     Set<Long> active = new HashSet<>();
-    newest.forEach(
+    newestBySender.forEach(
         (sender, received) -> {
           if (nowMs - received.receivedMs < ACTIVE_MS) {
             active.add(sender);
--- a/fleet/src/main/java/io/pathdeck/fleet/load/SendSchedule.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/SendSchedule.java
@@ -14,7 +14,7 @@
   static final long MIN_INTERVAL_MS = 50;
 
   /** How often unchanged counts are sent again, so that a silent peer can be detected. */
-  static final long REFRESH_MS = 200;
+  static final long MAX_REFRESH_MS = 200;
 
   /** How often inactive peers are included; otherwise neither of two peers would start sending. */
   static final long HELLO_INTERVAL_MS = 1_000;
@@ -27,7 +27,7 @@
 
   private static final int MAX_RECEIVED_PER_S = 200;
   private static final double MILLIS_PER_SECOND = 1_000;
-  private static final int UNCHANGED_INTERVALS = 2;
+  private static final int REFRESH_INTERVALS = 2;
 
   enum Recipients {
     NONE,
@@ -53,7 +53,7 @@
 
   private static long refreshMs(int activePeers) {
     long intervalMs = intervalMs(activePeers);
-    return Math.max(intervalMs, Math.min(REFRESH_MS, UNCHANGED_INTERVALS * intervalMs));
+    return Math.max(intervalMs, Math.min(MAX_REFRESH_MS, REFRESH_INTERVALS * intervalMs));
   }
 
   /**
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
@@ -24,13 +24,13 @@
   private final List<Runnable> timers = new ArrayList<>();
   private final List<String> sent = new ArrayList<>();
   private final List<String> rejected = new ArrayList<>();
-  private boolean callersCompete = true;
-  private boolean reportsPace;
+  private boolean hasTenantPolicies = true;
+  private boolean enginesReportPace;
   private long nowMs = 1_000;
   private final RequestDispatcher dispatcher =
       new RequestDispatcher(
           engines,
-          new RequestDispatcher.QueueingRule(() -> callersCompete, engine -> reportsPace),
+          new RequestDispatcher.QueueingRule(() -> hasTenantPolicies, engine -> enginesReportPace),
           (delayMs, action) -> timers.add(action),
           () -> nowMs,
           new QueueMetrics());
@@ -104,7 +104,7 @@
 
   @Test
   void sendsImmediatelyWithoutCompetition() {
-    callersCompete = false;
+    hasTenantPolicies = false;
     fillEngine();
     submit("a", "t");
     assertThat(sent).containsExactly("a");
@@ -113,8 +113,8 @@
 
   @Test
   void queuesWhenEnginesReportPace() {
-    callersCompete = false;
-    reportsPace = true;
+    hasTenantPolicies = false;
+    enginesReportPace = true;
     fillEngine();
     submit("a", "t");
     assertThat(sent).isEmpty();
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSlowCallers.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSlowCallers.java
@@ -299,7 +299,7 @@
       caller.setSoTimeout(200);
       try {
         heads.add(readHead(caller.getInputStream()));
-      } catch (SocketTimeoutException stillKept) {
+      } catch (SocketTimeoutException noResponse) {
         assertThat(caller.isConnected()).isTrue();
       }
     }
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
@@ -21,7 +21,7 @@
 
   /** A strategy to enforce the limit. */
   interface Strategy {
-    boolean admit(int gateway, long nowMs, boolean leaderAnswers);
+    boolean admit(int gateway, long nowMs, boolean leaderResponds);
 
     void heartbeat(int gateway, long nowMs);
   }
@@ -55,7 +55,7 @@
     this.leaderDownUntilMs = downFromMs + downForMs;
   }
 
-  private boolean leaderAnswers(long nowMs) {
+  private boolean leaderResponds(long nowMs) {
     boolean down = nowMs >= leaderDownFromMs && nowMs < leaderDownUntilMs;
     return !down && random.nextDouble() >= lossRate;
   }
@@ -74,7 +74,7 @@
       for (int gateway = 0; gateway < gateways; gateway++) {
         if (now >= nextHeartbeat[gateway]) {
           nextHeartbeat[gateway] = now + HEARTBEAT_MS;
-          if (leaderAnswers(now)) {
+          if (leaderResponds(now)) {
             strategy.heartbeat(gateway, now);
           }
         }
@@ -83,7 +83,7 @@
         requests++;
         requested.add(now);
         boolean withinLimit = requested.total(now) <= limit;
-        if (strategy.admit(random.nextInt(gateways), now, leaderAnswers(now))) {
+        if (strategy.admit(random.nextInt(gateways), now, leaderResponds(now))) {
           admitted.add(now);
         } else {
           refused++;
@@ -107,21 +107,23 @@
   }
 
   /** Returns traffic that alternates between a low and a high rate. */
-  static LongToDoubleFunction steps(double low, double high, long lowMs, long highMs) {
+  static LongToDoubleFunction steps(double lowRate, double highRate, long lowMs, long highMs) {
     return now ->
-        now < FIRST_STEP_MS || (now - FIRST_STEP_MS) % (lowMs + highMs) < lowMs ? low : high;
+        now < FIRST_STEP_MS || (now - FIRST_STEP_MS) % (lowMs + highMs) < lowMs
+            ? lowRate
+            : highRate;
   }
 
   /** Each gateway enforces an equal, fixed share of the limit. */
   Strategy equalShares() {
-    List<SlidingWindowCounter> own = windows();
+    List<SlidingWindowCounter> counters = newCounters();
     double share = tenant.maxRequestsIn(WINDOW_MS) / gateways;
     return new Strategy() {
       @Override
-      public boolean admit(int gateway, long nowMs, boolean leaderAnswers) {
-        boolean fits = own.get(gateway).total(nowMs) + 1 <= share;
+      public boolean admit(int gateway, long nowMs, boolean leaderResponds) {
+        boolean fits = counters.get(gateway).total(nowMs) + 1 <= share;
         if (fits) {
-          own.get(gateway).add(nowMs);
+          counters.get(gateway).add(nowMs);
         }
         return fits;
       }
@@ -133,23 +135,23 @@
 
   /** Each gateway admits by the sum of all windows in its latest heartbeat reply. */
   Strategy reportedSums() {
-    List<SlidingWindowCounter> own = windows();
+    List<SlidingWindowCounter> counters = newCounters();
     int[] reported = new int[gateways];
     int[] othersTotal = new int[gateways];
     double limit = tenant.maxRequestsIn(WINDOW_MS);
     return new Strategy() {
       @Override
-      public boolean admit(int gateway, long nowMs, boolean leaderAnswers) {
-        boolean fits = othersTotal[gateway] + own.get(gateway).total(nowMs) + 1 <= limit;
+      public boolean admit(int gateway, long nowMs, boolean leaderResponds) {
+        boolean fits = othersTotal[gateway] + counters.get(gateway).total(nowMs) + 1 <= limit;
         if (fits) {
-          own.get(gateway).add(nowMs);
+          counters.get(gateway).add(nowMs);
         }
         return fits;
       }
 
       @Override
       public void heartbeat(int gateway, long nowMs) {
-        reported[gateway] = own.get(gateway).total(nowMs);
+        reported[gateway] = counters.get(gateway).total(nowMs);
         int sum = 0;
         for (int count : reported) {
           sum += count;
@@ -162,53 +164,56 @@
   /** The production strategy: local admission until the tenant is contended. */
   Strategy leaderWhenContended() {
     TenantLedger ledger = new TenantLedger(WINDOW_MS);
-    List<AdmissionController> admissions = new ArrayList<>();
+    List<AdmissionController> controllers = new ArrayList<>();
     for (int i = 0; i < gateways; i++) {
-      admissions.add(new AdmissionController(WINDOW_MS, 0));
+      controllers.add(new AdmissionController(WINDOW_MS, 0));
     }
     String name = tenant.name();
     return new Strategy() {
       @Override
-      public boolean admit(int gateway, long nowMs, boolean leaderAnswers) {
-        AdmissionController own = admissions.get(gateway);
+      public boolean admit(int gateway, long nowMs, boolean leaderResponds) {
+        AdmissionController controller = controllers.get(gateway);
         boolean admitted =
-            switch (own.decide(name, nowMs)) {
+            switch (controller.decide(name, nowMs)) {
               case ADMIT -> true;
               case REFUSE, UNDECIDED -> false;
-              case ASK_LEADER -> ask(own, gateway, nowMs, leaderAnswers);
+              case ASK_LEADER -> ask(controller, gateway, nowMs, leaderResponds);
             };
         if (admitted) {
-          own.onAdmitted(name, nowMs);
+          controller.onAdmitted(name, nowMs);
         }
         return admitted;
       }
 
-      private boolean ask(AdmissionController own, int gateway, long nowMs, boolean leaderAnswers) {
-        if (!leaderAnswers) {
-          return own.mayAdmitWithoutLeader(name, nowMs);
+      private boolean ask(
+          AdmissionController controller, int gateway, long nowMs, boolean leaderResponds) {
+        if (!leaderResponds) {
+          return controller.mayAdmitWithoutLeader(name, nowMs);
         }
         boolean granted = ledger.tryAdmit("g" + gateway, 1, tenant, nowMs);
         if (!granted) {
-          own.onRefused(name, nowMs);
+          controller.onRefused(name, nowMs);
         }
         return granted;
       }
 
       @Override
       public void heartbeat(int gateway, long nowMs) {
-        List<TenantUse> uses = admissions.get(gateway).tenantUses(nowMs);
+        List<TenantUse> uses = controllers.get(gateway).tenantUses(nowMs);
         ledger.onHeartbeat("g" + gateway, 1, uses, nowMs);
         ledger.expire(nowMs);
-        admissions.get(gateway).onContendedTenants(ledger.contended(List.of(tenant)), nowMs);
+        controllers
+            .get(gateway)
+            .onContendedTenants(ledger.contendedTenants(List.of(tenant)), nowMs);
       }
     };
   }
 
-  private List<SlidingWindowCounter> windows() {
-    List<SlidingWindowCounter> windows = new ArrayList<>();
+  private List<SlidingWindowCounter> newCounters() {
+    List<SlidingWindowCounter> counters = new ArrayList<>();
     for (int i = 0; i < gateways; i++) {
-      windows.add(new SlidingWindowCounter(WINDOW_MS));
+      counters.add(new SlidingWindowCounter(WINDOW_MS));
     }
-    return windows;
+    return counters;
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitStrategyTable.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitStrategyTable.java
@@ -21,7 +21,7 @@
     }
   }
 
-  private static void printRows(int gateways, CallerTenant tenant, double mean) {
+  private static void printRows(int gateways, CallerTenant tenant, double meanRate) {
     for (String name : List.of("equal shares", "told sums", "leader when contended")) {
       LimitSimulation simulation =
           new LimitSimulation(gateways, tenant, SEED, 0, Long.MAX_VALUE / 2, 0);
@@ -33,13 +33,15 @@
           };
       LimitSimulation.Outcome outcome =
           simulation.run(
-              strategy, LimitSimulation.steps(0.38 * mean, 1.87 * mean, 3_400, 2_400), DURATION_MS);
+              strategy,
+              LimitSimulation.steps(0.38 * meanRate, 1.87 * meanRate, 3_400, 2_400),
+              DURATION_MS);
       System.out.printf(
           Locale.ROOT,
           "| %d | %.0f | %.1f | %s | %d | %.1f |%n",
           gateways,
           tenant.requestsPerSecond(),
-          mean / tenant.requestsPerSecond(),
+          meanRate / tenant.requestsPerSecond(),
           name,
           outcome.maxInWindow(),
           100 * outcome.refusedWithinLimitShare());
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/TestTenantLimits.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/TestTenantLimits.java
@@ -17,7 +17,7 @@
   private static final long WINDOW_MS = LimitSimulation.WINDOW_MS;
 
   /** The contract allows a tenth and 20 requests above the limit. */
-  private static final double EXCESS_FACTOR = 1.1;
+  private static final double MAX_LIMIT_FACTOR = 1.1;
 
   private static final double EXCESS_REQUESTS = 20;
 
@@ -28,15 +28,15 @@
   }
 
   private static double maxAllowed(CallerTenant tenant) {
-    return tenant.maxRequestsIn(WINDOW_MS) * EXCESS_FACTOR + EXCESS_REQUESTS;
+    return tenant.maxRequestsIn(WINDOW_MS) * MAX_LIMIT_FACTOR + EXCESS_REQUESTS;
   }
 
   private static LimitSimulation withoutFaults(int gateways, CallerTenant tenant, long seed) {
     return new LimitSimulation(gateways, tenant, seed, 0, NEVER_MS, 0);
   }
 
-  private static LongToDoubleFunction steps(double mean) {
-    return LimitSimulation.steps(0.38 * mean, 1.87 * mean, 3_400, 2_400);
+  private static LongToDoubleFunction steps(double meanRate) {
+    return LimitSimulation.steps(0.38 * meanRate, 1.87 * meanRate, 3_400, 2_400);
   }
 
   @ParameterizedTest
@@ -65,13 +65,13 @@
   @ValueSource(ints = {10, 47, 300})
   void floodingTenantStaysWithinLimit(int gateways) {
     for (double rate : new double[] {3, 30, 92}) {
-      for (double flood : new double[] {2, 4}) {
+      for (double loadFactor : new double[] {2, 4}) {
         CallerTenant tenant = tenant(rate, rate);
         LimitSimulation simulation = withoutFaults(gateways, tenant, gateways);
         LimitSimulation.Outcome outcome =
-            simulation.run(simulation.leaderWhenContended(), steps(flood * rate), DURATION_MS);
+            simulation.run(simulation.leaderWhenContended(), steps(loadFactor * rate), DURATION_MS);
         assertThat((double) outcome.maxInWindow())
-            .as("%s gateways, rate %s, flood %s: %s", gateways, rate, flood, outcome)
+            .as("%s gateways, rate %s, flood %s: %s", gateways, rate, loadFactor, outcome)
             .isLessThanOrEqualTo(maxAllowed(tenant));
       }
     }
@@ -108,7 +108,7 @@
     ledger.onHeartbeat("a", 1, List.of(new TenantUse("t", 8)), 0);
     ledger.onHeartbeat("b", 1, List.of(new TenantUse("t", 4)), 0);
     assertThat(ledger.tryAdmit("a", 1, tenant, 1)).isFalse();
-    assertThat(ledger.contended(List.of(tenant))).containsExactly("t");
+    assertThat(ledger.contendedTenants(List.of(tenant))).containsExactly("t");
   }
 
   @Test
@@ -116,9 +116,9 @@
     TenantLedger ledger = new TenantLedger(WINDOW_MS);
     ledger.onHeartbeat("a", 1, List.of(new TenantUse("t", 6)), 0);
     ledger.expire(WINDOW_MS);
-    assertThat(ledger.admitted("t")).isEqualTo(6);
+    assertThat(ledger.admittedRequests("t")).isEqualTo(6);
     ledger.expire(WINDOW_MS + 1);
-    assertThat(ledger.admitted("t")).isZero();
+    assertThat(ledger.admittedRequests("t")).isZero();
   }
 
   @Test
@@ -126,7 +126,7 @@
     TenantLedger ledger = new TenantLedger(WINDOW_MS);
     ledger.onHeartbeat("a", 1, List.of(new TenantUse("t", 6)), 0);
     ledger.onHeartbeat("a", 2, List.of(new TenantUse("t", 1)), 100);
-    assertThat(ledger.admitted("t")).isEqualTo(7);
+    assertThat(ledger.admittedRequests("t")).isEqualTo(7);
   }
 
   @Test
@@ -138,6 +138,6 @@
     assertThat(ledger.tryAdmit("a", 1, tenant, 2)).isTrue();
     assertThat(ledger.tryAdmit("a", 1, tenant, 3)).isFalse();
     ledger.onHeartbeat("a", 1, List.of(new TenantUse("t", 12)), 4);
-    assertThat(ledger.admitted("t")).isEqualTo(12);
+    assertThat(ledger.admittedRequests("t")).isEqualTo(12);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
@@ -26,12 +26,12 @@
   private static final long REPORT_HALF_LIFE_MS = 250;
   private static final long DURATION_MS = 24_000;
   private static final long CRASH_MS = 10_400;
-  private static final long PEAK_INTERVAL_MS = 3_000;
-  private static final long PEAK_MS = 1_500;
+  private static final long PEAK_PERIOD_MS = 3_000;
+  private static final long PEAK_DURATION_MS = 1_500;
   private static final double PEAK_REQUESTS_PER_MS = 0.205;
   private static final double OFF_PEAK_REQUESTS_PER_MS = 0.06;
-  private static final long MIN_RUN_MS = 300;
-  private static final long MAX_RUN_MS = 1_100;
+  private static final long MIN_SERVICE_TIME_MS = 300;
+  private static final long MAX_SERVICE_TIME_MS = 1_100;
   private static final long NETWORK_MS = 1;
 
   /**
@@ -40,7 +40,8 @@
    * @param lossRate the share of datagrams that are lost
    * @param oneCrashes whether a gateway crashes during a peak
    */
-  record Conditions(int gateways, boolean shared, double lossRate, boolean oneCrashes, long seed) {}
+  record Conditions(
+      int gateways, boolean shareLoad, double lossRate, boolean oneCrashes, long seed) {}
 
   /**
    * Results: the requests of peaks, how many of them found all slots taken, and the datagrams
@@ -88,15 +89,15 @@
   private final class Gateway {
     final long id;
     final EngineTable table = new EngineTable(REPORT_HALF_LIFE_MS);
-    final EngineLoadBalancer choice;
-    final PeerLoads peers = new PeerLoads();
+    final EngineLoadBalancer loadBalancer;
+    final PeerLoads peerLoads = new PeerLoads();
     final SendSchedule schedule = new SendSchedule();
     long sequence;
     boolean crashed;
 
     Gateway(int number) {
       id = number;
-      choice = new EngineLoadBalancer("z", random.nextLong());
+      loadBalancer = new EngineLoadBalancer("z", random.nextLong());
       Map<String, EngineInstance> listed = new HashMap<>();
       engines.values().forEach(engine -> listed.put(engine.instance.id(), engine.instance));
       table.update(listed);
@@ -104,11 +105,12 @@
 
     void request(boolean duringPeak) {
       List<EngineState> usable = table.usable("s", Set.of(), nowMs);
-      EngineState chosen = choice.choose(usable, Prompt.UNKNOWN, nowMs).orElseThrow().engine();
+      EngineState chosen =
+          loadBalancer.choose(usable, Prompt.UNKNOWN, nowMs).orElseThrow().engine();
       chosen.onStart(nowMs);
-      if (conditions.shared()) {
+      if (conditions.shareLoad()) {
         Map<Long, Integer> calls = InFlightCalls.of(table);
-        broadcast(schedule.onCallStart(calls, peers.activePeers(nowMs).size(), nowMs), calls);
+        broadcast(schedule.onCallStart(calls, peerLoads.activePeers(nowMs).size(), nowMs), calls);
       }
       long sentMs = nowMs;
       Engine engine = engines.get(chosen.instance().id());
@@ -129,18 +131,18 @@
             chosen.onFirstBytes(nowMs - sentMs, nowMs);
             chosen.onLoadReport(report, nowMs);
           });
-      long runMs = random.nextLong(MIN_RUN_MS, MAX_RUN_MS);
-      schedule(runMs, engine::leave);
-      schedule(runMs + NETWORK_MS, chosen::onEnd);
+      long serviceTimeMs = random.nextLong(MIN_SERVICE_TIME_MS, MAX_SERVICE_TIME_MS);
+      schedule(serviceTimeMs, engine::leave);
+      schedule(serviceTimeMs + NETWORK_MS, chosen::onEnd);
     }
 
     void tick() {
       if (crashed) {
         return;
       }
-      peers.expire(nowMs);
-      InFlightCalls.applyPeerCalls(table, peers);
-      int active = peers.activePeers(nowMs).size();
+      peerLoads.expire(nowMs);
+      InFlightCalls.applyPeerCalls(table, peerLoads);
+      int active = peerLoads.activePeers(nowMs).size();
       Map<Long, Integer> calls = InFlightCalls.of(table);
       broadcast(schedule.onInterval(calls, active, nowMs), calls);
       schedule(SendSchedule.intervalMs(active), this::tick);
@@ -150,7 +152,7 @@
       if (recipients == SendSchedule.Recipients.NONE) {
         return;
       }
-      int ttlMs = SendSchedule.ttlMs(peers.activePeers(nowMs).size());
+      int ttlMs = SendSchedule.ttlMs(peerLoads.activePeers(nowMs).size());
       byte[] bytes = new LoadDatagram(id, 1, ++sequence, ttlMs, calls).encode();
       for (Gateway peer : gateways) {
         if (peer != this && random.nextDouble() >= conditions.lossRate()) {
@@ -162,8 +164,8 @@
 
     private void receive(byte[] bytes) {
       LoadDatagram.decode(ByteBuffer.wrap(bytes))
-          .ifPresent(datagram -> peers.accept(datagram, nowMs));
-      InFlightCalls.applyPeerCalls(table, peers);
+          .ifPresent(datagram -> peerLoads.accept(datagram, nowMs));
+      InFlightCalls.applyPeerCalls(table, peerLoads);
     }
   }
 
@@ -190,7 +192,7 @@
       gateways.add(new Gateway(i));
       ids.add((long) i);
     }
-    gateways.forEach(gateway -> gateway.peers.setKnownPeers(ids));
+    gateways.forEach(gateway -> gateway.peerLoads.setKnownPeers(ids));
   }
 
   static Outcome run(Conditions conditions) {
@@ -202,7 +204,7 @@
   }
 
   private Outcome run() {
-    if (conditions.shared()) {
+    if (conditions.shareLoad()) {
       gateways.forEach(gateway -> schedule(random.nextLong(50), gateway::tick));
     }
     for (nowMs = 0; nowMs < DURATION_MS; nowMs++) {
@@ -212,7 +214,7 @@
       if (conditions.oneCrashes() && nowMs == CRASH_MS) {
         gateways.get(0).crashed = true;
       }
-      boolean peak = nowMs % PEAK_INTERVAL_MS < PEAK_MS;
+      boolean peak = nowMs % PEAK_PERIOD_MS < PEAK_DURATION_MS;
       if (random.nextDouble() < (peak ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS)) {
         randomGateway().request(peak);
       }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadExchange.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestLoadExchange.java
@@ -44,11 +44,11 @@
     final LoadMetrics metrics = new LoadMetrics();
     final LoadExchange exchange;
 
-    Node(String name, boolean always) {
+    Node(String name, boolean alwaysEnabled) {
       this.name = name;
       engines.update(Map.of("e", new EngineInstance("e", "s", "h:1", "z", 8, false, 5)));
       LoadExchange.Self self = new LoadExchange.Self(name, 1, "z", listen);
-      exchange = new LoadExchange(eventLoop, self, engines, metrics, always);
+      exchange = new LoadExchange(eventLoop, self, engines, metrics, alwaysEnabled);
       nodes.add(this);
     }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestSendSchedule.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestSendSchedule.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class TestSendSchedule {
-  private static final Map<Long, Integer> ONE = Map.of(7L, 1);
-  private static final Map<Long, Integer> TWO = Map.of(7L, 2);
+  private static final Map<Long, Integer> ONE_CALL = Map.of(7L, 1);
+  private static final Map<Long, Integer> TWO_CALLS = Map.of(7L, 2);
 
   private final SendSchedule schedule = new SendSchedule();
 
@@ -22,57 +22,57 @@
 
   @Test
   void startsAreSentImmediately() {
-    assertThat(schedule.onCallStart(ONE, 3, 0)).isEqualTo(ALL);
-    assertThat(schedule.onCallStart(TWO, 3, 1)).isEqualTo(ACTIVE);
-    assertThat(schedule.onCallStart(ONE, 3, 1_000)).isEqualTo(ALL);
+    assertThat(schedule.onCallStart(ONE_CALL, 3, 0)).isEqualTo(ALL);
+    assertThat(schedule.onCallStart(TWO_CALLS, 3, 1)).isEqualTo(ACTIVE);
+    assertThat(schedule.onCallStart(ONE_CALL, 3, 1_000)).isEqualTo(ALL);
   }
 
   @Test
   void startsBeyondBudgetAreDelayed() {
     for (int i = 0; i < SendSchedule.BURST; i++) {
-      schedule.onCallStart(ONE, 20, 0);
+      schedule.onCallStart(ONE_CALL, 20, 0);
     }
-    assertThat(schedule.onCallStart(TWO, 20, 99)).isEqualTo(NONE);
-    assertThat(schedule.onCallStart(TWO, 20, 100)).isEqualTo(ACTIVE);
+    assertThat(schedule.onCallStart(TWO_CALLS, 20, 99)).isEqualTo(NONE);
+    assertThat(schedule.onCallStart(TWO_CALLS, 20, 100)).isEqualTo(ACTIVE);
   }
 
   @Test
   void endsAreSentAtIntervals() {
-    schedule.onCallStart(TWO, 3, 0);
-    assertThat(schedule.onInterval(ONE, 3, 49)).isEqualTo(NONE);
-    assertThat(schedule.onInterval(ONE, 3, 50)).isEqualTo(ACTIVE);
+    schedule.onCallStart(TWO_CALLS, 3, 0);
+    assertThat(schedule.onInterval(ONE_CALL, 3, 49)).isEqualTo(NONE);
+    assertThat(schedule.onInterval(ONE_CALL, 3, 50)).isEqualTo(ACTIVE);
   }
 
   @Test
   void unchangedCountsAreRefreshed() {
-    schedule.onCallStart(ONE, 3, 0);
-    assertThat(schedule.onInterval(ONE, 3, 99)).isEqualTo(NONE);
-    assertThat(schedule.onInterval(ONE, 3, 100)).isEqualTo(ACTIVE);
+    schedule.onCallStart(ONE_CALL, 3, 0);
+    assertThat(schedule.onInterval(ONE_CALL, 3, 99)).isEqualTo(NONE);
+    assertThat(schedule.onInterval(ONE_CALL, 3, 100)).isEqualTo(ACTIVE);
   }
 
   @Test
   void endOfLastCallIsSentOnce() {
-    schedule.onCallStart(ONE, 3, 0);
+    schedule.onCallStart(ONE_CALL, 3, 0);
     assertThat(schedule.onInterval(Map.of(), 3, 50)).isEqualTo(ACTIVE);
     assertThat(schedule.onInterval(Map.of(), 3, 500)).isEqualTo(NONE);
   }
 
   @Test
   void receivedRateIsBounded() {
-    for (int active : new int[] {1, 5, 30, 180, 360}) {
-      int sent = sentIn(10_000, active);
-      assertThat(sent * active / 10.0)
-          .isLessThanOrEqualTo(200 + SendSchedule.BURST * active / 10.0);
+    for (int activePeers : new int[] {1, 5, 30, 180, 360}) {
+      int sent = datagramsSentIn(10_000, activePeers);
+      assertThat(sent * activePeers / 10.0)
+          .isLessThanOrEqualTo(200 + SendSchedule.BURST * activePeers / 10.0);
     }
   }
 
-  private static int sentIn(long lengthMs, int active) {
+  private static int datagramsSentIn(long lengthMs, int activePeers) {
     SendSchedule schedule = new SendSchedule();
     int sent = 0;
     for (long nowMs = 0; nowMs < lengthMs; nowMs++) {
       Map<Long, Integer> calls = Map.of(7L, (int) nowMs + 1);
-      sent += schedule.onCallStart(calls, active, nowMs) == NONE ? 0 : 1;
-      sent += schedule.onInterval(calls, active, nowMs) == NONE ? 0 : 1;
+      sent += schedule.onCallStart(calls, activePeers, nowMs) == NONE ? 0 : 1;
+      sent += schedule.onInterval(calls, activePeers, nowMs) == NONE ? 0 : 1;
     }
     return sent;
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/load/TestSharedLoad.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/TestSharedLoad.java
@@ -14,13 +14,13 @@
   private static final int SEEDS = 5;
 
   /** Sums over several seeds; the received rate is the maximum. */
-  private static Outcome run(int gateways, boolean shared, double lossShare, boolean oneDies) {
+  private static Outcome run(int gateways, boolean shareLoad, double lossRate, boolean oneCrashes) {
     int requests = 0;
     int foundFull = 0;
     double receivedPerS = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       Outcome outcome =
-          LoadSimulation.run(new Conditions(gateways, shared, lossShare, oneDies, seed));
+          LoadSimulation.run(new Conditions(gateways, shareLoad, lossRate, oneCrashes, seed));
       requests += outcome.requests();
       foundFull += outcome.foundFull();
       receivedPerS = Math.max(receivedPerS, outcome.receivedPerS());
@@ -30,9 +30,9 @@
 
   @ParameterizedTest
   @CsvSource({"4, 0, false", "4, 0.05, true", "12, 0, false", "12, 0.05, true", "40, 0.05, true"})
-  void sharingHalvesRequestsToFullEngines(int gateways, double lossShare, boolean oneDies) {
-    Outcome alone = run(gateways, false, 0, oneDies);
-    Outcome shared = run(gateways, true, lossShare, oneDies);
+  void sharingHalvesRequestsToFullEngines(int gateways, double lossRate, boolean oneCrashes) {
+    Outcome alone = run(gateways, false, 0, oneCrashes);
+    Outcome shared = run(gateways, true, lossRate, oneCrashes);
     assertThat(shared.foundFullShare()).isLessThan(alone.foundFullShare() / 2);
     assertThat(shared.receivedPerS()).isLessThanOrEqualTo(200);
   }
