--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/AttemptTracker.java
@@ -17,7 +17,7 @@
   private final long loadAgeMs;
   private final long sentMs;
   private final StreamTiming streamTiming = new StreamTiming();
-  private boolean promptRead;
+  private boolean prefillDone;
   private long firstBytesMs = NOT_RECEIVED;
 
   AttemptTracker(Placement placement, long nowMs) {
@@ -37,7 +37,7 @@
     return estimatedLoad;
   }
 
-  /** Returns the age of the load report at that time. */
+  /** Returns the age of the engine's load report when the engine was chosen. */
   long loadAgeMs() {
     return loadAgeMs;
   }
@@ -53,13 +53,13 @@
   }
 
   void onDataReceived(long nowMs) {
-    recordPromptRead();
+    recordPrefillDone();
     engine.onDataReceived(nowMs);
   }
 
   /**
-   * Records the start of the response; returns how long the request waited, without the time to
-   * read its prompt.
+   * Records the start of the response. Returns how long the request waited at the engine, excluding
+   * the estimated time to process its prompt.
    */
   long onFirstBytes(long prefillTokensPerMs, EngineLoadReport report, long nowMs) {
     firstBytesMs = nowMs;
@@ -83,28 +83,28 @@
   }
 
   /** Returns the time since the response started. */
-  long respondingMs(long nowMs) {
+  long responseAgeMs(long nowMs) {
     return nowMs - firstBytesMs;
   }
 
-  /** Records that a stream has reached {@code event}. */
+  /** Records that the stream event with the id {@code event} has arrived. */
   void onEvent(long event, long nowMs) {
     streamTiming.onEvent(event, nowMs);
   }
 
-  /** Records a completed stream, whose event times show the engine's pace. */
+  /** Updates the engine's pace from the event times of a completed stream. */
   void onStreamCompleted(long nowMs) {
     engine.pace().onStream(streamTiming.eventsAfterFirst(), streamTiming.spanMs(), nowMs);
   }
 
   void end() {
-    recordPromptRead();
+    recordPrefillDone();
     engine.onEnd();
   }
 
-  private void recordPromptRead() {
-    if (!promptRead) {
-      promptRead = true;
+  private void recordPrefillDone() {
+    if (!prefillDone) {
+      prefillDone = true;
       engine.onPrefillDone(prefillTokens);
     }
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/BatchCalls.java
@@ -39,8 +39,8 @@
 /**
  * Handles callers' batch job requests by forwarding them to the groups that store the jobs.
  *
- * <p>A job is reported as missing only after a linearizable read. A submission with an unknown
- * outcome is answered as failed, never as refused, since a refusal promises that nothing runs.
+ * <p>A job is reported as missing only after a linearizable operation. A submission with an unknown
+ * outcome fails and is never refused, since a refusal promises that nothing runs.
  */
 final class BatchCalls {
   private static final EventLog EVENTS = EventLog.of(BatchCalls.class);
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerKeys.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/CallerKeys.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The tenants of one configuration by the digests of their API keys; plain keys are not kept. */
+/** The tenants of one configuration by the digests of their API keys; keeps no plaintext keys. */
 final class CallerKeys {
   /** Used before the first configuration arrives. */
   static final CallerKeys NONE = new CallerKeys(false, new byte[0]);
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Dispatchable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Dispatchable.java
@@ -8,14 +8,16 @@
 /** A request to be sent to an engine, immediately or from a queue. */
 interface Dispatchable {
   /**
-   * Determines when and in which order requests are sent.
+   * Attributes of a request that decide when it is sent. Times are instants of the monotonic clock.
    *
-   * @param tenant whose share of the engines the request uses; empty if callers have no tenants
+   * @param service the service whose engines may run it
+   * @param tenant whose share of the engines it uses; empty if callers have no tenants
+   * @param rank its place in the queue relative to other requests
    * @param dueMs when its response should start
    * @param deadlineMs when its caller stops waiting
    * @param bytes the memory that it occupies while queued
-   * @param work its cost for an engine, relative to other requests
-   * @param mayBeRejected whether it has certainly not run and no part of a response was sent
+   * @param work its estimated cost in output tokens
+   * @param mayBeRejected true if it cannot have run and no part of a response was sent
    */
   record DispatchAttributes(
       String service,
@@ -33,9 +35,11 @@
   /** Returns the ids of the engines that the request was already sent to. */
   Set<String> triedEngineIds();
 
-  /** Sends the request to the best of the candidates, of which there may be none. */
+  /**
+   * Sends the request to the best of {@code candidates}; ends it with an error if there are none.
+   */
   void sendTo(List<EngineState> candidates);
 
-  /** Tells the caller that the request was not sent and when to retry. */
+  /** Tells the caller that the request did not run and when to retry. */
   void reject(String reason, long retryAfterMs);
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ForwardingContext.java
@@ -7,9 +7,8 @@
 import java.util.Set;
 
 /**
- * State shared by all forwarders of a gateway.
- *
- * @param callStartListener runs whenever a request is sent to an engine, retries included
+ * State shared by all forwarders of a gateway. The {@code callStartListener} runs whenever a
+ * request is sent to an engine, retries included.
  */
 record ForwardingContext(
     EventLoop eventLoop,
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -35,12 +35,14 @@
   private static final long UNCONFIRMED_RETRY_AFTER_MS = 300;
 
   /**
-   * Half-life of an engine's load report. It is short because a gateway hears from an engine
-   * seldom; with a longer one, all gateways would avoid engines that have become free.
+   * Half-life of an engine's load report. An engine's reports reach each gateway seldom; with a
+   * longer half-life, all gateways would avoid engines that have become free.
    */
   private static final long REPORT_HALF_LIFE_MS = 250;
 
-  /** A fifth of the default window of a limit, in which a fifth of the limit becomes free. */
+  /**
+   * A fifth of the default limit window, after which about a fifth of the limit is available again.
+   */
   private static final long OVER_RATE_RETRY_AFTER_MS = 1_000;
 
   private final CallerProtocol protocol;
@@ -59,12 +61,9 @@
   private Runnable callStartListener = () -> {};
 
   /**
-   * Creates a gateway.
-   *
-   * @param configurationUsable whether the known configuration may be used
-   * @param startProgress the progress of the startup until it may be used
-   * @param routesConfirmed whether the routes are known to be current; until then, a request
-   *     without a route gets a retryable error instead of 404
+   * Creates a gateway. It refuses requests until {@code configurationUsable}, with a retry time
+   * derived from {@code startProgress}. Until {@code routesConfirmed}, a request without a route or
+   * with an unknown key gets a retryable error, since the configuration may be out of date.
    */
   Gateway(
       EventLoop eventLoop,
@@ -115,7 +114,7 @@
         queueMetrics);
   }
 
-  /** Returns the state of the engines; to be used on the event loop only. */
+  /** Returns the state of the engines, for use on the event loop only. */
   EngineTable engines() {
     return context.engines();
   }
@@ -185,8 +184,8 @@
   }
 
   /**
-   * Refuses an unknown key. Unless the configuration is confirmed, the key may be newer than it,
-   * and the error is retryable.
+   * Refuses a request with an unknown key. The error is retryable while the configuration may be
+   * older than the key.
    */
   private void refuseUnknownKey(HttpExchange exchange) {
     if (routesConfirmed.getAsBoolean()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -35,7 +35,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Supplier;
 
-/** A gateway, which forwards callers' requests to engines and keeps no durable state. */
+/** A gateway process. Forwards callers' requests to engines and keeps no durable state. */
 public final class GatewayProcess implements FleetMemberProcess {
   private static final EventLog EVENTS = EventLog.of(GatewayProcess.class);
 
@@ -240,8 +240,8 @@
   }
 
   /**
-   * Keeps serving until the directory and the platform no longer list this gateway; returns false
-   * if interrupted.
+   * Sleeps for the minimum drain time, in which the directory and the platform should remove this
+   * gateway from their lists; returns false if interrupted.
    */
   private boolean awaitMinDrain() {
     try {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewaySettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewaySettings.java
@@ -12,13 +12,16 @@
 /**
  * The settings of a gateway.
  *
+ * @param fleet the settings common to all processes of a fleet
  * @param callersListen the address for callers
  * @param readinessListen the address for readiness checks
- * @param drainMs the most time that a graceful shutdown takes
- * @param minDrainMs how long a graceful shutdown keeps serving at least, until callers know of it
+ * @param limits the limits for callers' connections, unless a configuration overrides them
+ * @param drainMs the maximum duration of a graceful shutdown
+ * @param minDrainMs how long a graceful shutdown keeps serving at least, so that callers learn of
+ *     it
  * @param cores the processor cores that the gateway may use; 0 if unknown
- * @param shareLoad whether to share in-flight calls with the zone's gateways even if no engine
- *     reports that it shares its machine
+ * @param shareLoad whether to share in-flight call counts with the zone's gateways even if no
+ *     engine reports its pace
  * @param memoryBudgetMb the memory limit for callers' data; 0 limits request bodies only
  */
 public record GatewaySettings(
@@ -35,12 +38,11 @@
   private static final int MAX_BUDGET_MB = 65_536;
   private static final long BYTES_PER_MB = 1 << 20;
 
-  /** Returns the memory limit for callers' data; 0 limits request bodies only. */
   long memoryBudgetBytes() {
     return memoryBudgetMb * BYTES_PER_MB;
   }
 
-  /** Returns the limits of these settings, overridden by those that a configuration states. */
+  /** Returns these limits with the overrides of a configuration applied. */
   HttpLimits effectiveLimits(CallerLimits overrides) {
     int maxBodyBytes =
         overrides.maxBodyBytes() > 0 ? overrides.maxBodyBytes() : limits.maxBodyBytes();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/JobsGroupLocator.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/JobsGroupLocator.java
@@ -10,19 +10,22 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
 
-/** Finds the consensus groups that store batch jobs, and clients for them. Thread-safe. */
+/**
+ * Locates the consensus group that stores a batch job, and provides a client for it. Thread-safe.
+ */
 final class JobsGroupLocator {
   /**
-   * The group of a job.
+   * A consensus group that stores batch jobs.
    *
-   * @param group the number of the group
-   * @param count the number of groups
+   * @param group its index
+   * @param count how many groups store jobs
+   * @param client sends messages to its members
    */
   record JobsGroup(int group, int count, GroupClient client) {
     /**
-     * Returns the group's share of a limit over all groups; job ids spread jobs evenly.
+     * Returns the group's share of a limit on all groups; job ids spread jobs evenly.
      *
-     * @param limit the limit of all groups together; 0 for no limit
+     * @param limit the limit on all groups together; 0 for no limit
      */
     long shareOf(long limit) {
       return limit <= 0 ? 0 : Math.max(1, limit / count);
@@ -40,7 +43,7 @@
     this.view = view;
   }
 
-  /** Returns the group that stores a job; empty until a group is known. */
+  /** Returns the group that stores a job; empty until the number of groups is known. */
   Optional<JobsGroup> groupOf(String jobId) {
     int count = view.get().jobsFounders().size();
     if (count == 0) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
@@ -19,7 +19,7 @@
  *
  * <p>It protects against large bodies, floods and slow readers. Above the limit, the largest
  * reservation of the tenant with the most memory is evicted first, so a flooding tenant loses its
- * own requests before those of others.
+ * own requests before other tenants lose theirs.
  */
 final class MemoryBudget {
   private static final EventLog EVENTS = EventLog.of(MemoryBudget.class);
@@ -27,7 +27,7 @@
   private final long maxBytes;
   private final MemoryMetrics metrics;
 
-  /** Only reservations that are not empty. */
+  /** Nonempty reservations only. */
   private final Set<Reservation> reservations = new LinkedHashSet<>();
 
   private long heldBytes;
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Evicts until the budget holds after {@code requester} has grown; returns false if it would be
-   * next itself.
+   * Evicts reservations until the total is within the limit. Returns false if it still exceeds the
+   * limit because the next candidate is {@code requester} itself, or none is left.
    */
   private boolean makeRoom(Reservation requester) {
     List<EvictedReservation> evicted = new ArrayList<>();
@@ -118,11 +118,12 @@
     }
   }
 
-  /** An evicted reservation and the owner that must free its memory. */
+  /** The state of a reservation before its eviction, to notify its owner. */
   private record EvictedReservation(String tenant, long bytes, HeldMemory.Owner owner) {}
 
   /**
-   * The memory of one connection. After an eviction it refuses further bytes until it is released.
+   * The memory of one connection. After an eviction it refuses further bytes until {@link
+   * #releaseAll}.
    */
   private final class Reservation implements HeldMemory {
     private String tenant = "";
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryMetrics.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Metrics of the memory that a gateway keeps for its callers. Thread-safe. */
+/** Metrics of a gateway's memory for callers' data. Thread-safe. */
 final class MemoryMetrics {
   private final AtomicLong heldBytes = new AtomicLong();
   private final LongAdder rejected = new LongAdder();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ReadPause.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ReadPause.java
@@ -1,17 +1,20 @@
 package io.pathdeck.fleet.gateway;
 
 /**
- * Decides when to pause reading a response from its engine because the caller is slow; pure.
+ * Decides when to pause reading a response from its engine because the caller is slow. Does no I/O
+ * and reads no clock.
  *
  * <p>Unread data stays in the engine's memory instead of the gateway's. Engines drop a response
  * that is not read for some seconds, so pauses are bounded. After a pause that reached the bound,
- * reading continues until the caller has caught up or is disconnected.
+ * the gateway keeps reading until the caller has caught up or is disconnected.
  */
 final class ReadPause {
-  /** Some hundred events; a caller that keeps up never has as many pending. */
+  /** A few hundred events; a caller that keeps up never has that many unread. */
   static final long HIGH_WATERMARK_BYTES = 128 << 10;
 
-  /** Keeps a caller busy until the engine's next bytes arrive. */
+  /**
+   * Reading resumes at this level, so that data remains to send until more arrives from the engine.
+   */
   static final long LOW_WATERMARK_BYTES = 32 << 10;
 
   /**
@@ -25,8 +28,8 @@
   private long pausedSinceMs;
 
   /**
-   * Updates the state from the bytes that the caller has not read yet; returns whether reading is
-   * paused.
+   * Updates the state from the number of bytes that the caller has not read yet. Returns whether
+   * the gateway should pause reading from the engine.
    */
   boolean update(long pendingBytes, long nowMs) {
     if (pendingBytes <= LOW_WATERMARK_BYTES) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -22,14 +22,17 @@
  * Sends requests to engines, immediately or in the order of their service's queue; confined to the
  * event loop.
  *
- * <p>Requests are queued only if callers compete or engines report their pace, and only while all
- * engines of the service are known to be full.
+ * <p>Requests are queued only if the configuration has tenant policies or an engine reports its
+ * pace, and only while all engines of the service are known to be full.
  */
 final class RequestDispatcher {
-  /** Short compared with the time that requests spend in the queue. */
+  /**
+   * Interval of checks for expired hold times and missed deadlines; short compared with the time
+   * that requests spend in the queue.
+   */
   private static final long CHECK_INTERVAL_MS = 10;
 
-  /** More than a gateway receives during the time for which a request is queued. */
+  /** More requests for a service than a gateway receives while one of them is queued. */
   private static final int MAX_WAITING = 256;
 
   private static final long MAX_WAITING_BYTES = 16 << 20;
@@ -37,7 +40,7 @@
   /**
    * Decides whether requests are queued.
    *
-   * @param hasTenantPolicies whether the configuration lets callers compete
+   * @param hasTenantPolicies whether the configuration declares tenants with limits or priorities
    * @param reportsPace whether an engine reports its current pace
    */
   record QueueingRule(BooleanSupplier hasTenantPolicies, Predicate<EngineState> reportsPace) {
@@ -81,7 +84,7 @@
     this.metrics = metrics;
   }
 
-  /** Sends or queues a request that is not in the queue. */
+  /** Sends, queues or rejects a request that is not in the queue. */
   void submit(Dispatchable request) {
     Dispatchable.DispatchAttributes attributes = request.attributes();
     List<EngineState> candidates = candidates(attributes.service(), request.triedEngineIds());
@@ -124,8 +127,8 @@
   }
 
   /**
-   * Rejects a request that the full queue displaced. One that may have run cannot be rejected and
-   * is sent to an engine's own queue.
+   * Rejects a request that the full queue has removed. A request that may have run cannot be
+   * rejected and is sent to an engine immediately.
    */
   private void evict(ServiceState service, Dispatchable request) {
     metrics.onEvicted();
@@ -174,7 +177,7 @@
   void onSlotFreed(String service, AttemptTracker attempt) {
     ServiceState state = services.get(service);
     if (state != null && attempt.hasResponse()) {
-      state.times.onSlotFreed(attempt.respondingMs(clockMs.getAsLong()));
+      state.times.onSlotFreed(attempt.responseAgeMs(clockMs.getAsLong()));
     }
     scheduleDispatch();
   }
@@ -202,8 +205,9 @@
   }
 
   /**
-   * Sends queued requests in order while an engine has capacity or any hold has expired. Requests
-   * ahead of an expired one are sent first, since the engines' queues keep the order.
+   * Sends queued requests in order while an engine has capacity or the hold time of any request has
+   * expired. Requests ahead of an expired one are sent first, since engines queue in order of
+   * arrival.
    */
   private void dispatch(ServiceState service) {
     Optional<WaitingRequest<Dispatchable>> next = service.queue.peek();
@@ -256,7 +260,7 @@
     return candidates.stream().map(this::capacity).toList();
   }
 
-  /** Returns the engines that may have capacity, or all if none has. */
+  /** Returns the candidates that are not known to be full, or all candidates if there are none. */
   private List<EngineState> preferred(List<EngineState> candidates) {
     List<EngineState> notFull =
         candidates.stream().filter(engine -> !capacity(engine).isKnownFull()).toList();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -31,7 +31,7 @@
 final class RequestForwarder implements Dispatchable {
   private static final int SERVER_ERROR = 500;
 
-  /** How long coordinators quarantine a request under which engines crashed. */
+  /** How long coordinators quarantine a request on which engines crashed. */
   private static final long QUARANTINE_RETRY_AFTER_MS = 600_000;
 
   private static final String MEMORY_EXHAUSTED = "memory for callers is short";
@@ -216,7 +216,7 @@
     finishUnserved(reason);
   }
 
-  /** Releases the memory of the request; returns whether it is rejected as not run. */
+  /** Ends the request to free memory; returns whether the caller is told that it did not run. */
   private boolean evict() {
     if (finished) {
       exchange.breakOff();
@@ -256,7 +256,7 @@
     Refusals.unavailable(exchange, reason, retryAfterMs);
   }
 
-  /** Ends a quarantined request, under which engines crash, at once and without a retry. */
+  /** Ends a request that is quarantined because engines crashed on it; does not retry it. */
   private void onQuarantined(String reason) {
     attempt = null;
     budget.onNotRun();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestLog.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestLog.java
@@ -12,11 +12,15 @@
   /**
    * Details of a served request.
    *
+   * @param routesVersion the version of the route table that the request was matched with
    * @param engineId the engine that completed the response
    * @param estimatedLoad the engine's estimated load when it was chosen
    * @param loadAgeMs the age of the load report behind that estimate
    * @param msPerEvent the engine's mean time per event, as measured by this gateway
    * @param waitedMs how long the request was queued in this gateway
+   * @param timeToFirstByteMs the time from the request's arrival to the start of the response
+   * @param totalMs the time from the request's arrival to the end of the response
+   * @param lastEvent the id of the last event delivered
    */
   record Served(
       long routesVersion,
@@ -103,9 +107,8 @@
   }
 
   /**
-   * Logs a failed request.
-   *
-   * @param key the log field of {@code value}: the status sent or the last event delivered
+   * Logs a failed request; {@code key} is the log field of {@code value}: the status sent or the
+   * last event delivered.
    */
   void failed(String reason, String key, long value) {
     EVENTS.log(
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/StartupRetryDelay.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/StartupRetryDelay.java
@@ -16,15 +16,15 @@
   /** The longest election timeout of a replica; most elections are over by then. */
   static final long MAX_ELECTION_TIMEOUT_MS = 1_200;
 
-  /** Time for a read of the engine list and two reports of this gateway. */
+  /** Time to read the engine list and send two reports of this gateway. */
   static final long ENGINE_LIST_MS = 200;
 
-  /** Least delay while no leader is known: some heartbeats of a new leader. */
+  /** Minimum delay while no coordinator or leader is known; several heartbeats of a new leader. */
   static final long MIN_DELAY_MS = 300;
 
   static final long JITTER_MS = 600;
 
-  /** Callers accept a delay of at most their time divided by this. */
+  /** Callers ignore a retry delay longer than their timeout divided by this. */
   private static final long TIMEOUT_DIVISOR = 3;
 
   private StartupRetryDelay() {}
@@ -32,6 +32,7 @@
   /**
    * Returns the delay until the retry.
    *
+   * @param progress the phase of the startup and how long it has lasted
    * @param callerTimeoutMs how long the caller waits in total; 0 if unknown
    * @param random from 0 to 1, different for each caller
    */
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/TenantLimiter.java
@@ -20,13 +20,13 @@
     ADMITTED,
     OVER_LIMIT,
 
-    /** It cannot be determined now whether the limit has room. */
+    /** The leader did not decide, and local counts do not show that the limit has room. */
     UNDECIDED
   }
 
   /**
-   * How long a request waits for the leader's decision. A reply takes about 2 ms; an unresponsive
-   * leader must not cost a caller more than half of a usual latency target of 300 ms.
+   * How long a request waits for the leader's decision; half of a usual latency target of 300 ms,
+   * so that an unresponsive leader costs callers no more than that.
    */
   private static final long ASK_TIMEOUT_MS = 150;
 
@@ -60,7 +60,7 @@
       return;
     }
     switch (admissionController.decide(tenant.name(), nowMs())) {
-      case ADMIT -> admitted(tenant.name(), callback);
+      case ADMIT -> completeAdmission(tenant.name(), callback);
       case REFUSE -> callback.accept(Outcome.OVER_LIMIT);
       case ASK_LEADER -> askLeader(tenant.name(), callback);
       default -> callback.accept(Outcome.UNDECIDED);
@@ -80,23 +80,23 @@
       admissionController.onRefused(tenant, nowMs());
       callback.accept(Outcome.OVER_LIMIT);
     } else if (replied || admissionController.mayAdmitWithoutLeader(tenant, nowMs())) {
-      admitted(tenant, callback);
+      completeAdmission(tenant, callback);
     } else {
       callback.accept(Outcome.UNDECIDED);
     }
   }
 
-  private void admitted(String tenant, Consumer<Outcome> callback) {
+  private void completeAdmission(String tenant, Consumer<Outcome> callback) {
     admissionController.onAdmitted(tenant, nowMs());
     callback.accept(Outcome.ADMITTED);
   }
 
-  /** Updates the tenants that the leader reports as near their limits. */
+  /** Replaces the tenants that the leader reports as near their limits. */
   void onContendedTenants(List<String> tenants) {
     admissionController.onContendedTenants(tenants, nowMs());
   }
 
-  /** Returns the usage to report to the leader. */
+  /** Returns the tenants' usage at this gateway, to report to the leader. */
   List<TenantUse> tenantUses() {
     return admissionController.tenantUses(nowMs());
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
@@ -12,13 +12,13 @@
 /**
  * Admits requests of rate-limited tenants at one gateway; confined to one thread.
  *
- * <p>Requests of a tenant far below its limit are admitted locally. Those of a contended tenant,
- * near its limit, are decided one by one by the leading coordinator. While the leader does not
- * respond, a gateway admits no more of a contended tenant than its window held at the leader's last
- * update, so that the total of the fleet does not grow.
+ * <p>Requests of a tenant far below its limit are admitted locally. A tenant near its limit is
+ * called contended; the leading coordinator decides about each of its requests. While the leader
+ * does not respond, a gateway admits no more requests of a contended tenant than its window held at
+ * the leader's last update, so that the total of the fleet does not grow.
  */
 public final class AdmissionController {
-  /** The decision about a request. */
+  /** How to proceed with a request. */
   public enum Decision {
     ADMIT,
     ASK_LEADER,
@@ -31,15 +31,16 @@
   }
 
   /**
-   * How long a refusal by the leader applies to further requests, so that a flood costs one query
-   * per period. For a large tenant, room for another one appears every few milliseconds.
+   * How long a refusal by the leader also applies to later requests of the tenant, which limits a
+   * flood to one query per period. Short, since a large tenant's limit has room again within
+   * milliseconds.
    */
   private static final long REFUSAL_TTL_MS = 50;
 
   /**
-   * How long after the leader's last update an uncontended tenant is admitted without bound. After
-   * that, a gateway admits at most twice what its window held, since the fleet was below half of
-   * the limit.
+   * How long after the leader's last update a tenant that is not contended is admitted without
+   * bound. After that, a gateway admits at most twice the requests that its window held at that
+   * update, since the fleet was then below half of the limit.
    */
   private static final long LEADER_UPDATE_TTL_MS = 1_000;
 
@@ -59,11 +60,7 @@
   private Set<String> contendedTenants = Set.of();
   private long lastUpdateMs;
 
-  /**
-   * Creates a controller.
-   *
-   * @param windowMs the length of the window over which limits apply
-   */
+  /** Creates a controller for limits that apply over windows of {@code windowMs}. */
   public AdmissionController(long windowMs, long nowMs) {
     this.windowMs = windowMs;
     this.lastUpdateMs = nowMs;
@@ -102,7 +99,10 @@
     tenant(tenant).refusedUntilMs = nowMs + REFUSAL_TTL_MS;
   }
 
-  /** Updates the contended tenants from the leader. */
+  /**
+   * Handles an update by the leader: replaces the contended tenants and records the current counts,
+   * which bound admissions while the leader is silent.
+   */
   public void onContendedTenants(List<String> tenantsNearLimit, long nowMs) {
     contendedTenants = new HashSet<>(tenantsNearLimit);
     lastUpdateMs = nowMs;
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/SlidingWindowCounter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/SlidingWindowCounter.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Counts events in a sliding time window, with a resolution of a fiftieth of it. */
+/** Counts events in a sliding time window, with a resolution of 1/50 of the window. */
 final class SlidingWindowCounter {
   private static final int BUCKETS = 50;
 
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 
 /**
- * Tracks, at the leading coordinator, what all gateways admit of rate-limited tenants.
+ * Tracks, at the leading coordinator, the requests of rate-limited tenants that all gateways admit.
  *
- * <p>Nothing is replicated: each heartbeat of a gateway reports its whole window, so a new leader
- * is complete after one round of heartbeats. Requests granted since a gateway's last heartbeat are
- * added to it. A gateway that is silent still counts for one more window.
+ * <p>Nothing is replicated: each heartbeat of a gateway reports the counts of its whole window, so
+ * a new leader is complete after one round of heartbeats. Requests that the leader granted since a
+ * gateway's last heartbeat are added to its counts. The counts of a silent gateway expire after one
+ * window.
  */
 public final class TenantLedger {
   /**
-   * Share of its limit from which a tenant is contended. Gateways learn of it within a heartbeat
-   * interval of 300 ms; the other half covers what they admit until then, at up to six times the
-   * limit's rate for a window of 5 s.
+   * Share of its limit from which a tenant is contended. Gateways learn of it with their next
+   * heartbeat; the other half covers what they admit until then.
    */
   private static final double CONTENTION_START_SHARE = 0.5;
 
@@ -28,12 +28,12 @@
   private static final double CONTENTION_END_SHARE = 0.3;
 
   /**
-   * Tolerance for reports that are up to 300 ms old and still count requests that left the window:
-   * 300 ms are 6 percent of a window of 5 s.
+   * Tolerance for counts that still include requests that have left the window. Counts are up to
+   * one heartbeat interval old, about a twentieth of the default window.
    */
   private static final double STALENESS_FACTOR = 1.05;
 
-  /** The same as a number of requests, for small limits of which 5 percent are less than one. */
+  /** Added to the tolerance for small limits, of which 5 percent are less than one request. */
   private static final double STALENESS_ALLOWANCE_REQUESTS = 2;
 
   private record GatewayIncarnation(String gateway, long incarnation) {}
@@ -101,7 +101,10 @@
             });
   }
 
-  /** Returns the tenants whose requests gateways must ask the leader about. */
+  /**
+   * Updates and returns the tenants near their limits, whose requests gateways must ask the leader
+   * about.
+   */
   public List<String> contendedTenants(List<CallerTenant> tenants) {
     List<String> names = new ArrayList<>();
     for (CallerTenant tenant : tenants) {
@@ -126,7 +129,7 @@
     return isContended;
   }
 
-  /** Admits one request at a gateway if the tenant stays within its limit. */
+  /** Admits and counts one request at a gateway if the tenant stays within its limit. */
   public boolean tryAdmit(String gateway, long incarnation, CallerTenant tenant, long nowMs) {
     double max = tenant.maxRequestsIn(windowMs) * STALENESS_FACTOR + STALENESS_ALLOWANCE_REQUESTS;
     if (admittedRequests(tenant.name()) + 1 > max) {
--- a/fleet/src/main/java/io/pathdeck/fleet/load/InFlightCalls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/InFlightCalls.java
@@ -15,8 +15,8 @@
   private InFlightCalls() {}
 
   /**
-   * Returns the in-flight calls by engine; if a datagram cannot hold all engines, those with the
-   * most calls.
+   * Returns the in-flight calls by engine hash; if a datagram cannot hold all engines, only those
+   * with the most calls.
    */
   static Map<Long, Integer> of(EngineTable engines) {
     List<EngineState> busy =
@@ -35,7 +35,7 @@
     return calls;
   }
 
-  /** Sets the peers' calls of each engine. */
+  /** Updates each engine's state with the number of calls that peers have in flight at it. */
   static void applyPeerCalls(EngineTable engines, PeerLoads peers) {
     for (EngineState engine : engines.all()) {
       engine.onPeerCalls(peers.callsAt(engine.instanceHash()));
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadDatagram.java
@@ -6,8 +6,7 @@
 import java.util.Optional;
 
 /**
- * A complete report of one process's in-flight calls, so that a lost datagram is replaced by the
- * next one.
+ * A complete report of one process's in-flight calls; the next datagram makes up for a lost one.
  *
  * @param sender a hash of the process's name
  * @param incarnation distinguishes runs of that process
@@ -17,7 +16,7 @@
  */
 record LoadDatagram(
     long sender, long incarnation, long sequence, int ttlMs, Map<Long, Integer> calls) {
-  /** Keeps the datagram within a packet of any usual network. */
+  /** Keeps a datagram small enough to fit one packet on any usual network. */
   static final int MAX_ENGINES = 100;
 
   /** Bounds how long a receiver keeps the counts of a silent peer. */
--- a/fleet/src/main/java/io/pathdeck/fleet/load/LoadExchange.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/LoadExchange.java
@@ -31,18 +31,16 @@
  * Exchanges in-flight call counts with the other gateways of the zone and applies theirs to the
  * engine table; confined to the event loop.
  *
- * <p>The socket is opened when {@link #openIfNeeded} finds a reason; only then is the address
- * published and any cost incurred. Counts are sent only to gateways that publish an address.
+ * <p>Until {@link #openIfNeeded} opens the socket, no address is published and nothing is sent.
+ * Counts are sent only to gateways that publish an address.
  */
 public final class LoadExchange implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(LoadExchange.class);
   private static final long BIND_RETRY_MS = 5_000;
 
   /**
-   * This process as a participant.
-   *
-   * @param incarnation distinguishes runs of the process
-   * @param listen the address at which it receives datagrams
+   * Identity of this process. The incarnation distinguishes its runs; {@code listen} is the address
+   * at which it receives datagrams.
    */
   public record Self(String name, long incarnation, String zone, HostPort listen) {}
 
@@ -61,9 +59,8 @@
   private boolean closed;
 
   /**
-   * Creates an exchange without a socket.
-   *
-   * @param alwaysEnabled whether to share counts even if no engine reports its pace
+   * Creates an exchange without a socket; {@code alwaysEnabled} shares counts even if no engine
+   * reports its pace.
    */
   public LoadExchange(
       EventLoop eventLoop,
@@ -95,7 +92,8 @@
   }
 
   /**
-   * Opens the socket if engines report that they share their machines or the settings require it.
+   * Opens the socket if an engine reports its pace, as engines that share their machine do, or if
+   * sharing is always enabled. Retries failed attempts at intervals.
    */
   public void openIfNeeded() {
     boolean open = channel != null || closed;
@@ -141,7 +139,7 @@
     }
   }
 
-  /** Updates the peers from the zone's gateways. */
+  /** Updates the known peers: the other gateways of the zone. */
   public void onChange(FleetView view) {
     Set<Long> senders = new HashSet<>();
     Map<Long, InetSocketAddress> reachable = new HashMap<>();
--- a/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/PeerLoads.java
@@ -8,11 +8,14 @@
 /**
  * The in-flight calls of this process's peers from their latest datagrams; confined to one thread.
  *
- * <p>Counts of a crashed, disconnected or suspended peer expire with its last datagram, since its
- * calls may have ended and free engines would be avoided.
+ * <p>The counts of a peer that has stopped sending expire, since its calls may have ended and free
+ * engines would be avoided.
  */
 final class PeerLoads {
-  /** A peer that sent within this time has callers now and is sent every change. */
+  /**
+   * How long after its last datagram a peer counts as active; only active peers are sent every
+   * change.
+   */
   static final long ACTIVE_MS = 3_000;
 
   /** The latest datagram of a peer. */
@@ -68,7 +71,7 @@
     return true;
   }
 
-  /** Removes expired counts. */
+  /** Subtracts the counts of datagrams that have expired. */
   void expire(long nowMs) {
     for (ReceivedDatagram received : newestBySender.values()) {
       if (received.isExpired(nowMs)) {
@@ -93,7 +96,7 @@
     return callsByEngine.getOrDefault(engineHash, 0);
   }
 
-  /** Returns the peers that have sent recently. */
+  /** Returns the peers that have sent within {@link #ACTIVE_MS}. */
   Set<Long> activePeers(long nowMs) {
     Set<Long> active = new HashSet<>();
     newestBySender.forEach(
--- a/fleet/src/main/java/io/pathdeck/fleet/load/SendSchedule.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/load/SendSchedule.java
@@ -6,17 +6,24 @@
  * Decides when a process sends its in-flight call counts, and to whom; confined to one thread.
  *
  * <p>In load peaks, the last free slots of a zone's engines are taken within tens of milliseconds,
- * so the start of a call is sent at once. Ends can wait: a free slot that is not known costs less
- * than two callers sent to the same one. A token bucket bounds the cost: all active peers together
- * send a process about {@value #MAX_RECEIVED_PER_S} datagrams per second, however many they are.
+ * so the start of a call is sent at once. Ends can wait: a free slot that peers do not know of
+ * costs less than two requests sent to the same slot. A token bucket bounds the cost: all active
+ * peers together send a process about {@value #MAX_RECEIVED_PER_S} datagrams per second, however
+ * many they are.
  */
 final class SendSchedule {
   static final long MIN_INTERVAL_MS = 50;
 
-  /** How often unchanged counts are sent again, so that a silent peer can be detected. */
+  /**
+   * Upper bound of the interval at which unchanged counts are resent, unless the send interval
+   * itself is longer.
+   */
   static final long MAX_REFRESH_MS = 200;
 
-  /** How often inactive peers are included; otherwise neither of two peers would start sending. */
+  /**
+   * How often inactive peers are included; otherwise neither of two inactive peers would start
+   * sending.
+   */
   static final long HELLO_INTERVAL_MS = 1_000;
 
   /** How often a process without calls and active peers checks whether that has changed. */
@@ -66,15 +73,15 @@
   }
 
   /**
-   * Returns to whom to send {@code calls} after a call has started; assumes that they are then
-   * sent.
+   * Returns the recipients of {@code calls} after a call has started; the caller must then send
+   * them.
    */
   Recipients onCallStart(Map<Long, Integer> calls, int activePeers, long nowMs) {
     refill(activePeers, nowMs);
     return tokens >= 1 ? recordSend(calls, nowMs) : Recipients.NONE;
   }
 
-  /** Returns to whom to send {@code calls} at an interval; assumes that they are then sent. */
+  /** Returns the recipients of {@code calls} at an interval; the caller must then send them. */
   Recipients onInterval(Map<Long, Integer> calls, int activePeers, long nowMs) {
     refill(activePeers, nowMs);
     long sinceMs = nowMs - lastSendMs;
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Callers that need more memory than the gateway may use. */
+/** Callers' data must stay within the memory limit, and a flooding tenant must not evict others. */
 class TestMemoryBudget {
   private static final long MAX_BYTES = 1_000;
 
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestRequestDispatcher.java
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void sendsImmediatelyWithoutCompetition() {
+  void sendsImmediatelyWithoutTenantPolicies() {
     hasTenantPolicies = false;
     fillEngine();
     submit("a", "t");
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSilenceTimeout.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestSilenceTimeout.java
@@ -39,7 +39,7 @@
     assertThat(timeout.timeoutMs(0)).isLessThan(MIN_MS + 150);
   }
 
-  /** As after a power failure, when every request waited over a second and was sent three times. */
+  /** Simulates all engines being overloaded, as after a power failure. */
   @Test
   void growsWhenAllEnginesAreOverloaded() {
     for (int i = 0; i < 30; i++) {
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitSimulation.java
@@ -11,15 +11,18 @@
  * Simulates one tenant's requests at many gateways that send heartbeats to one leader, in virtual
  * time.
  *
- * <p>Requests arrive at random gateways as a Poisson process. Admissions and refusals are evaluated
- * in sliding windows over all gateways, as the tenant's contract defines them.
+ * <p>Requests arrive at random gateways as a Poisson process. Admissions and refusals are counted
+ * in sliding windows over all gateways.
  */
 final class LimitSimulation {
   static final long WINDOW_MS = 5_000;
   private static final long HEARTBEAT_MS = 300;
   private static final long FIRST_STEP_MS = 2_000;
 
-  /** A strategy to enforce the limit. */
+  /**
+   * How gateways enforce the limit. {@code heartbeat} is called for each heartbeat that the leader
+   * receives; {@code leaderResponds} tells whether a query about the request would be answered.
+   */
   interface Strategy {
     boolean admit(int gateway, long nowMs, boolean leaderResponds);
 
@@ -133,7 +136,10 @@
     };
   }
 
-  /** Each gateway admits by the sum of all windows in its latest heartbeat reply. */
+  /**
+   * Each gateway admits while its own count plus the others' counts, as of its latest heartbeat, is
+   * within the limit.
+   */
   Strategy reportedSums() {
     List<SlidingWindowCounter> counters = newCounters();
     int[] reported = new int[gateways];
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/LimitStrategyTable.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/LimitStrategyTable.java
@@ -22,13 +22,13 @@
   }
 
   private static void printRows(int gateways, CallerTenant tenant, double meanRate) {
-    for (String name : List.of("equal shares", "told sums", "leader when contended")) {
+    for (String name : List.of("equal shares", "reported sums", "leader when contended")) {
       LimitSimulation simulation =
           new LimitSimulation(gateways, tenant, SEED, 0, Long.MAX_VALUE / 2, 0);
       LimitSimulation.Strategy strategy =
           switch (name) {
             case "equal shares" -> simulation.equalShares();
-            case "told sums" -> simulation.reportedSums();
+            case "reported sums" -> simulation.reportedSums();
             default -> simulation.leaderWhenContended();
           };
       LimitSimulation.Outcome outcome =
--- a/fleet/src/test/java/io/pathdeck/fleet/limit/TestTenantLimits.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/limit/TestTenantLimits.java
@@ -16,7 +16,7 @@
   private static final long DURATION_MS = 40_000;
   private static final long WINDOW_MS = LimitSimulation.WINDOW_MS;
 
-  /** The contract allows a tenth and 20 requests above the limit. */
+  /** Admitted requests may exceed the limit by 10 percent plus {@link #EXCESS_REQUESTS}. */
   private static final double MAX_LIMIT_FACTOR = 1.1;
 
   private static final double EXCESS_REQUESTS = 20;
@@ -89,9 +89,12 @@
         .isLessThanOrEqualTo(maxAllowed(tenant));
   }
 
-  /** The alternatives refuse requests within the limit or exceed it. */
+  /**
+   * Fixed shares per gateway refuse requests within the limit, and reported sums let a flood exceed
+   * it.
+   */
   @Test
-  void simplerStrategiesBreakTheContract() {
+  void simplerStrategiesRefuseTooMuchOrExceedLimit() {
     CallerTenant tenant = tenant(30, 30);
     LimitSimulation normal = withoutFaults(47, tenant, 1);
     LimitSimulation.Outcome shares = normal.run(normal.equalShares(), steps(24), DURATION_MS);
--- a/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/load/LoadSimulation.java
@@ -35,17 +35,20 @@
   private static final long NETWORK_MS = 1;
 
   /**
-   * Parameters of a run.
+   * Parameters of a simulation.
    *
+   * @param gateways the number of gateways
+   * @param shareLoad whether gateways exchange in-flight call counts
    * @param lossRate the share of datagrams that are lost
    * @param oneCrashes whether a gateway crashes during a peak
+   * @param seed the seed of the random numbers
    */
   record Conditions(
       int gateways, boolean shareLoad, double lossRate, boolean oneCrashes, long seed) {}
 
   /**
-   * Results: the requests of peaks, how many of them found all slots taken, and the datagrams
-   * received per gateway and second.
+   * Results: the requests in peaks, how many of them found all slots of their engine taken, and the
+   * datagrams received per gateway and second.
    */
   record Outcome(int requests, int foundFull, double receivedPerS) {
     double foundFullShare() {
