--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -35,7 +35,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Supplier;
 
-/** A gateway, which forwards callers' requests to engines and keeps no durable state. */
+/** A gateway process. Forwards callers' requests to engines and keeps no durable state. */
 public final class GatewayProcess implements FleetMemberProcess {
   private static final EventLog EVENTS = EventLog.of(GatewayProcess.class);
 
@@ -87,8 +87,8 @@
     LoadMetrics loadMetrics = new LoadMetrics();
     loadExchange = resources.push(createLoadExchange(eventLoop, startNs, loadMetrics));
     if (!fleet.tls().isEnabled()) {
-      gateway.onPeriodicCheck(loadExchange::openIfNeeded);
-      gateway.onCallStarted(loadExchange::onCallStarted);
+      gateway.setPeriodicCheck(loadExchange::openIfNeeded);
+      gateway.setCallStartListener(loadExchange::onCallStarted);
     }
     follower.setChangeListener(view -> onChange(view, transport));
     callerServer =
@@ -106,7 +106,7 @@
             eventLoops,
             settings.limits(),
             Optional.empty(),
-            this::answerReadiness));
+            this::handleReadinessCheck));
     fleet
         .metricsListen()
         .ifPresent(
@@ -198,7 +198,7 @@
     return !stopping.get() && follower.isUsable();
   }
 
-  private void answerReadiness(HttpExchange exchange) {
+  private void handleReadinessCheck(HttpExchange exchange) {
     if (!exchange.path().equals(adapter.callers().readinessPath())) {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
     } else if (isReady()) {
@@ -240,8 +240,8 @@
   }
 
   /**
-   * Keeps serving until the directory and the platform no longer list this gateway; returns false
-   * if interrupted.
+   * Sleeps for the minimum drain time, in which the directory and the platform should remove this
+   * gateway from their lists; returns false if interrupted.
    */
   private boolean awaitMinDrain() {
     try {
