--- a/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/FleetStateMachine.java
@@ -33,39 +33,39 @@
 import java.util.Set;
 
 /**
- * The state of a fleet's configuration group: the routes under the highest version taken, the first
- * members of the groups that keep batch jobs, the stores that are being emptied, and the requests
- * that must not reach engines.
+ * The state of a fleet's configuration group: the route table with the highest version, the
+ * founding members of the groups that keep batch jobs, the stores that are being drained, and the
+ * requests that must not reach engines.
  *
- * <p>Every command is idempotent, so that a resent one needs no stored answer.
+ * <p>Every command is idempotent, so results need not be stored for resends.
  */
 public final class FleetStateMachine implements StateMachine {
-  /** About 60 bytes each; the oldest give way, so that a flood of them stays within 32 KB. */
+  /** Limits the list to about 32 KB, at about 60 bytes per request; the oldest are evicted. */
   private static final int MAX_QUARANTINED = 512;
 
-  private final LogicalClock clock = new LogicalClock();
-  private RouteTable table;
+  private final LogClock clock = new LogClock();
+  private RouteTable routeTable;
   private List<JobsGroupFounders> jobsFounders = List.of();
-  private final Map<Integer, SetStoreLeaving> leaving = new LinkedHashMap<>();
+  private final Map<Integer, SetStoreLeaving> leavingStores = new LinkedHashMap<>();
   private final LinkedHashSet<RequestFingerprint> quarantined = new LinkedHashSet<>();
   private long quarantineVersion;
 
-  /** The configuration held; empty before the first one. */
-  public Optional<RouteTable> table() {
-    return Optional.ofNullable(table);
+  /** The route table; empty until the first one is stored. */
+  public Optional<RouteTable> routeTable() {
+    return Optional.ofNullable(routeTable);
   }
 
-  /** The groups that keep batch jobs with their first members; none before they were founded. */
+  /** The groups that keep batch jobs, with their founding members; empty until they are founded. */
   public List<JobsGroupFounders> jobsFounders() {
     return jobsFounders;
   }
 
-  /** The stores that are being emptied. */
-  public List<SetStoreLeaving> leaving() {
-    return List.copyOf(leaving.values());
+  /** The stores that are being drained. */
+  public List<SetStoreLeaving> leavingStores() {
+    return List.copyOf(leavingStores.values());
   }
 
-  /** The requests that must not reach engines, the oldest first. */
+  /** The requests that must not reach engines, oldest first. */
   public QuarantineList quarantine() {
     return new QuarantineList(quarantineVersion, List.copyOf(quarantined));
   }
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public boolean waitsForTime() {
+  public boolean needsTimeAdvance() {
     return false;
   }
 
@@ -104,11 +104,11 @@
       return new Done();
     }
     if (command instanceof SetStoreLeaving store) {
-      leaving.put(store.memberId(), store);
+      leavingStores.put(store.memberId(), store);
       return new Done();
     }
     if (command instanceof QuarantineRequests added) {
-      quarantine(added.requests());
+      addToQuarantine(added.requests());
       return new Done();
     }
     if (command instanceof ReleaseRequests released) {
@@ -118,7 +118,7 @@
     return new Rejected(RejectionCode.INVALID, "not a command of the fleet group");
   }
 
-  private void quarantine(List<RequestFingerprint> added) {
+  private void addToQuarantine(List<RequestFingerprint> added) {
     if (!quarantined.addAll(added)) {
       return;
     }
@@ -130,17 +130,17 @@
     }
   }
 
-  private CommandResult putRouteTable(RouteTable sent) {
-    if (table == null || sent.version() > table.version()) {
-      table = sent;
+  private CommandResult putRouteTable(RouteTable proposed) {
+    if (routeTable == null || proposed.version() > routeTable.version()) {
+      routeTable = proposed;
     }
-    return new RouteTableHeld(table.version());
+    return new RouteTableHeld(routeTable.version());
   }
 
   @Override
   public QueryResult query(Query query) {
     if (query instanceof ReadRouteTable) {
-      return new RouteTableResult(table);
+      return new RouteTableResult(routeTable);
     }
     return new NotFound("not a query of the fleet group");
   }
@@ -151,29 +151,29 @@
     records.add(
         new FleetRecord(
             clock.nowMs(),
-            table,
+            routeTable,
             new ArrayList<>(jobsFounders),
-            new ArrayList<>(leaving.values())));
+            new ArrayList<>(leavingStores.values())));
     records.add(new QuarantineRecord(quarantine()));
     return records.iterator();
   }
 
   @Override
   public void restoreSnapshot(Iterator<Object> records) {
-    leaving.clear();
+    leavingStores.clear();
     quarantined.clear();
     quarantineVersion = QuarantineList.NONE.version();
     while (records.hasNext()) {
       Object record = records.next();
-      if (record instanceof QuarantineRecord held) {
-        quarantineVersion = held.quarantine().version();
-        quarantined.addAll(held.quarantine().requests());
+      if (record instanceof QuarantineRecord saved) {
+        quarantineVersion = saved.quarantine().version();
+        quarantined.addAll(saved.quarantine().requests());
       }
       if (record instanceof FleetRecord fleet) {
         clock.restore(fleet.clockMs());
-        table = fleet.table();
+        routeTable = fleet.table();
         jobsFounders = List.copyOf(fleet.jobsFounders());
-        fleet.leaving().forEach(store -> leaving.put(store.memberId(), store));
+        fleet.leaving().forEach(store -> leavingStores.put(store.memberId(), store));
       }
     }
   }
--- a/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
+++ b/state/src/main/java/io/pathdeck/state/JobsSnapshot.java
@@ -15,7 +15,7 @@
 import java.util.List;
 
 /**
- * Captures and restores a jobs partition.
+ * Captures and restores the state of a jobs partition.
  *
  * <p>Lines and results never change once stored, so a capture only copies references.
  */
@@ -34,7 +34,7 @@
     for (Job job : state.jobs.values()) {
       captureJob(job, records);
     }
-    for (LeaseTable.Lease lease : state.leases.all()) {
+    for (LeaseTable.Lease lease : state.leases.leases()) {
       records.add(
           new LeaseRecord(
               lease.leaseId, lease.dispatcherId, lease.expiresAtMs, new ArrayList<>(lease.items)));
@@ -58,13 +58,13 @@
       List<byte[]> lines = new ArrayList<>();
       List<Boolean> successes = new ArrayList<>();
       int end = Math.min(job.size(), first + RESULTS_PER_RECORD);
-      boolean any = false;
+      boolean hasResult = false;
       for (int index = first; index < end; index++) {
         lines.add(job.result(index));
         successes.add(!job.isFailure(index));
-        any |= job.result(index) != null;
+        hasResult |= job.result(index) != null;
       }
-      if (any) {
+      if (hasResult) {
         records.add(new ResultRecord(job.spec().jobId(), first, lines, successes));
       }
     }
@@ -109,7 +109,7 @@
   private static void restoreResults(Job job, ResultRecord results) {
     for (int i = 0; i < results.lines().size(); i++) {
       if (results.lines().get(i) != null) {
-        job.record(results.firstIndex() + i, results.lines().get(i), results.successes().get(i));
+        job.setResult(results.firstIndex() + i, results.lines().get(i), results.successes().get(i));
       }
     }
   }
--- a/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/JobsStateMachine.java
@@ -41,22 +41,22 @@
 /**
  * The state of one jobs partition: files, jobs, results, leases, idempotency keys and claims.
  *
- * <p>Exactly once: an item has at most one result, the first that was committed; a lease only
- * decides who should run it. An item of a non-repeatable job that loses its lease gets a result
- * that says its outcome is unknown, and is never leased again.
+ * <p>An item has at most one result, the first that was committed; a lease only decides which
+ * dispatcher should run it. When the lease of an item of a non-repeatable job expires, the item
+ * gets a result with an unknown outcome and is never leased again.
  */
 public final class JobsStateMachine implements StateMachine {
-  /** How long files and ended jobs stay readable, in log time. */
+  /** How long files and ended jobs are kept, in log time. */
   public static final long RETENTION_MS = 7 * 24 * 60 * 60 * 1_000L;
 
   private static final long SWEEP_INTERVAL_MS = 1_000;
 
-  final LogicalClock clock = new LogicalClock();
+  final LogClock clock = new LogClock();
   final Map<String, StoredFile> files = new LinkedHashMap<>();
   final Map<String, Job> jobs = new LinkedHashMap<>();
   final LeaseTable leases = new LeaseTable();
   final ClaimTable claims = new ClaimTable();
-  final KeyTable keys = new KeyTable();
+  final IdempotencyKeyTable keys = new IdempotencyKeyTable();
   final JobQueues queues = new JobQueues();
   private final JobsQueries queries = new JobsQueries(this);
   long nextSweepMs;
@@ -67,8 +67,8 @@
   }
 
   @Override
-  public boolean waitsForTime() {
-    return !leases.all().isEmpty();
+  public boolean needsTimeAdvance() {
+    return !leases.leases().isEmpty();
   }
 
   @Override
@@ -203,14 +203,14 @@
   // ---- items
 
   private CommandResult leaseItems(LeaseItems command, long nowMs) {
-    List<JobQueues.Taken> taken =
+    List<JobQueues.TakenItem> taken =
         queues.take(command.service(), command.tenant(), command.maxItems());
     if (taken.isEmpty()) {
       return new ItemsLeased(0, new ArrayList<>());
     }
     List<ItemRef> refs = new ArrayList<>();
     List<LeasedItem> items = new ArrayList<>();
-    for (JobQueues.Taken item : taken) {
+    for (JobQueues.TakenItem item : taken) {
       JobSpec spec = item.job().spec();
       refs.add(new ItemRef(spec.jobId(), item.index()));
       items.add(
@@ -257,7 +257,7 @@
       if (leases.remove(result.leaseId(), new ItemRef(result.jobId(), result.index()))) {
         job.endLease();
       }
-      if (job.store(result.index(), result.line(), result.success(), nowMs)) {
+      if (job.storeResult(result.index(), result.line(), result.success(), nowMs)) {
         stored++;
       }
     }
@@ -268,7 +268,7 @@
     for (ItemRef item : command.items()) {
       Job job = jobs.get(item.jobId());
       if (job != null && leases.remove(command.leaseId(), item)) {
-        job.returnItem(item.index());
+        job.requeueItem(item.index());
       }
     }
     return new Done();
@@ -282,16 +282,17 @@
           continue;
         }
         if (job.spec().repeatable()) {
-          job.returnItem(item.index());
+          job.requeueItem(item.index());
         } else {
           job.endLease();
-          job.store(item.index(), OutcomeUnknown.line(job, item.index()), false, nowMs);
+          job.storeResult(
+              item.index(), OutcomeUnknownResult.resultLine(job, item.index()), false, nowMs);
         }
       }
     }
   }
 
-  /** Ends jobs past their completion window and forgets what is past its retention. */
+  /** Expires jobs past their completion window and removes jobs and files past their retention. */
   private void sweep(long nowMs) {
     if (nowMs < nextSweepMs) {
       return;
--- a/state/src/main/java/io/pathdeck/state/StateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/StateMachine.java
@@ -19,8 +19,8 @@
   /** Applies a committed command. */
   CommandResult apply(CommandEnvelope envelope);
 
-  /** Whether something will expire, so that time must pass even without commands. */
-  boolean waitsForTime();
+  /** Whether state will expire, so that time must advance even without other commands. */
+  boolean needsTimeAdvance();
 
   /** Answers a read from the applied state. */
   QueryResult query(Query query);
