--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -12,7 +12,7 @@
 import io.pathdeck.fleet.engine.TrafficSplit;
 import io.pathdeck.fleet.member.FleetView;
 import io.pathdeck.fleet.member.StartProgress;
-import io.pathdeck.fleet.queue.QueueActivation;
+import io.pathdeck.fleet.queue.TenantPolicies;
 import io.pathdeck.protocol.fleet.EngineInstance;
 import io.pathdeck.protocol.fleet.RouteKind;
 import io.pathdeck.protocol.fleet.RouteSpec;
@@ -138,7 +138,7 @@
     if (changed.routes() != null && changed.routes().version() != keysVersion) {
       keysVersion = changed.routes().version();
       keys = CallerKeys.of(changed.routes());
-      callersCompete = QueueActivation.hasTenantPolicies(changed.routes());
+      callersCompete = TenantPolicies.existIn(changed.routes());
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -96,7 +96,7 @@
       return;
     }
     long untilMs =
-        decision instanceof QueueDecision.Wait wait ? wait.untilMs() : clockMs.getAsLong();
+        decision instanceof QueueDecision.Hold wait ? wait.untilMs() : clockMs.getAsLong();
     enqueue(service, request, needs, untilMs);
     dispatch(service);
   }
@@ -216,7 +216,7 @@
     List<EngineState> candidates = candidates(needs.service(), request.triedEngineIds());
     QueueDecision decision = decide(service, needs, next.holdUntilMs(), candidates);
     boolean overdue = service.queue.hasExpiredHold(clockMs.getAsLong());
-    if (decision instanceof QueueDecision.Wait && !overdue) {
+    if (decision instanceof QueueDecision.Hold && !overdue) {
       return false;
     }
     service.queue.poll();
@@ -224,7 +224,7 @@
       rejectTooLate(service, request, reject);
       return true;
     }
-    if (clockMs.getAsLong() > next.sinceMs()) {
+    if (clockMs.getAsLong() > next.waitingSinceMs()) {
       metrics.onSentAfterWait();
     }
     request.sendTo(preferred(candidates));
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/EngineCapacity.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/EngineCapacity.java
@@ -1,35 +1,38 @@
 package io.pathdeck.fleet.queue;
 
 /**
- * What is known of the free capacity of an engine.
+ * A gateway's estimate of the load of an engine.
  *
- * @param slots requests that it runs at once; 0 if unknown
- * @param gatewayLoad its requests from this process and from peers that report theirs
- * @param estimatedLoad its requests, as far as known
+ * @param slots requests that the engine runs at once; 0 if unknown
+ * @param gatewayLoad requests at the engine from this gateway and from peers that report theirs
+ * @param estimatedLoad estimated requests at the engine, from all processes
  * @param loadAgeMs age of the engine's own load report; negative if there is none
  */
 public record EngineCapacity(int slots, int gatewayLoad, double estimatedLoad, long loadAgeMs) {
   /**
-   * Maximum age of a load report in use. A slot is held for some hundred milliseconds, so most of
-   * the reported requests are still there.
+   * Maximum age of a load report in use. A request holds its slot for a few hundred milliseconds,
+   * so most of the reported requests are still running.
    */
-  private static final long FRESH_LOAD_MS = 300;
+  private static final long MAX_LOAD_AGE_MS = 300;
 
   private boolean isLoadKnown() {
     boolean fullByGatewayLoad = gatewayLoad > slots;
-    boolean fresh = loadAgeMs >= 0 && loadAgeMs <= FRESH_LOAD_MS;
-    return slots > 0 && (fullByGatewayLoad || fresh);
+    boolean isReportRecent = loadAgeMs >= 0 && loadAgeMs <= MAX_LOAD_AGE_MS;
+    return slots > 0 && (fullByGatewayLoad || isReportRecent);
   }
 
   /**
-   * Whether it certainly has no capacity for one more request. One request may wait at an engine,
-   * so that a freed slot is reused without a round trip to the gateway.
+   * Whether the load is known and exceeds the slots. One request beyond the slots is allowed, so
+   * that the engine reuses a freed slot without a round trip to the gateway.
    */
   public boolean isKnownFull() {
     return isLoadKnown() && estimatedLoad > slots;
   }
 
-  /** How long one more request would wait there if each slot is held for {@code slotTimeMs}. */
+  /**
+   * Returns how long one more request would wait if each request holds its slot for {@code
+   * slotTimeMs}.
+   */
   double expectedWaitMs(double slotTimeMs) {
     return Math.max(0, estimatedLoad + 1 - slots) * slotTimeMs / slots;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/FairQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/FairQueue.java
@@ -4,34 +4,36 @@
 import java.util.Map;
 
 /**
- * The waiting requests of one rank, fair between tenants (start-time fair queueing): the tenant
- * with the lowest recent usage is next, so that a flood delays the tenant that sends it.
+ * The waiting requests of one rank, ordered by start-time fair queueing: the tenant with the lowest
+ * start tag is next, so that a tenant that sends a flood of requests delays mainly its own.
  */
 final class FairQueue<T> {
   private final Map<String, TenantQueue<T>> tenants = new LinkedHashMap<>();
   private double virtualTime;
-  private int waiting;
+  private int size;
   private int timesSkipped;
 
   void add(TenantQueue.Arrival<T> arrival) {
-    tenants.computeIfAbsent(arrival.waiting().tenant(), added -> new TenantQueue<>()).add(arrival);
-    waiting++;
+    tenants
+        .computeIfAbsent(arrival.waitingRequest().tenant(), name -> new TenantQueue<>())
+        .add(arrival);
+    size++;
   }
 
   void remove(TenantQueue.Arrival<T> arrival) {
-    TenantQueue<T> tenant = tenants.get(arrival.waiting().tenant());
+    TenantQueue<T> tenant = tenants.get(arrival.waitingRequest().tenant());
     if (tenant != null && tenant.remove(arrival)) {
-      waiting--;
+      size--;
       timesSkipped = isEmpty() ? 0 : timesSkipped;
       removeIdleTenants();
     }
   }
 
   boolean isEmpty() {
-    return waiting == 0;
+    return size == 0;
   }
 
-  /** How many requests of other ranks were sent while requests of this one waited. */
+  /** Returns how many requests of other ranks were sent since the last request of this rank. */
   int timesSkipped() {
     return timesSkipped;
   }
@@ -50,22 +52,23 @@
     TenantQueue<T> tenant = nextTenant();
     TenantQueue.Arrival<T> first = tenant.first();
     tenant.remove(first);
-    waiting--;
+    size--;
     virtualTime = tenant.startTag(virtualTime);
-    tenant.charge(virtualTime, first.waiting().work());
+    tenant.charge(virtualTime, first.waitingRequest().work());
     removeIdleTenants();
     return first;
   }
 
   private TenantQueue<T> nextTenant() {
-    TenantQueue<T> best = null;
+    TenantQueue<T> next = null;
     for (TenantQueue<T> tenant : tenants.values()) {
-      boolean sooner = best == null || tenant.startTag(virtualTime) < best.startTag(virtualTime);
-      if (!tenant.isEmpty() && sooner) {
-        best = tenant;
+      boolean startsEarlier =
+          next == null || tenant.startTag(virtualTime) < next.startTag(virtualTime);
+      if (!tenant.isEmpty() && startsEarlier) {
+        next = tenant;
       }
     }
-    return best;
+    return next;
   }
 
   private void removeIdleTenants() {
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueueDecision.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueueDecision.java
@@ -1,13 +1,13 @@
 package io.pathdeck.fleet.queue;
 
-/** The decision on a request. */
+/** Tells the gateway how to proceed with a request. */
 public sealed interface QueueDecision {
-  /** The request is sent to an engine now. */
+  /** Send the request to an engine now. */
   record Send() implements QueueDecision {}
 
-  /** The request is held until an engine has a free slot, at most until {@code untilMs}. */
-  record Wait(long untilMs) implements QueueDecision {}
+  /** Hold the request until an engine has a free slot, at most until {@code untilMs}. */
+  record Hold(long untilMs) implements QueueDecision {}
 
-  /** The request is rejected: its deadline will pass before an engine can take it. */
+  /** Reject the request: its deadline passes before an engine can start it. */
   record Reject(long expectedWaitMs) implements QueueDecision {}
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueuePolicy.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueuePolicy.java
@@ -3,16 +3,18 @@
 import java.util.List;
 
 /**
- * Decides whether a request is sent to an engine, held or rejected. Pure; times in milliseconds.
+ * Decides whether to send a request to an engine, to hold it or to reject it. Has no state; times
+ * are in milliseconds.
  *
- * <p>It handles load peaks in which all slots are taken for some hundred milliseconds. A request
- * that is held here can be overtaken by a more urgent one or canceled, which is impossible in an
- * engine's queue. Nothing is held while any engine is not known to be full.
+ * <p>The policy handles load peaks in which all slots are taken for a few hundred milliseconds.
+ * While the gateway holds a request, a more urgent one can overtake it and its caller can cancel
+ * it; neither is possible in an engine's queue. Requests are held only if all engines are known to
+ * be full.
  */
 public final class QueuePolicy {
   /**
-   * The share of its spare time for which a request is held. The rest is left for the engine's own
-   * queue, so that the response is on time even if no slot is known to become free.
+   * Fraction of its spare time for which a request is held. The rest covers a wait in the engine's
+   * queue, so that the response is on time even if no slot becomes free during the hold.
    */
   private static final double HELD_SHARE = 0.5;
 
@@ -23,11 +25,12 @@
    *
    * @param dueMs when its response should begin
    * @param deadlineMs when its caller gives up
-   * @param holdUntilMs end of the hold that was granted before; {@link #NOT_HELD} if none
-   * @param mayBeRejected whether it certainly has not run and nothing of a response was sent
+   * @param holdUntilMs end of its current hold; {@link #NOT_HELD} if none
+   * @param mayBeRejected whether it has certainly not run and its caller has received no part of a
+   *     response
    */
   public record Request(long dueMs, long deadlineMs, long holdUntilMs, boolean mayBeRejected) {
-    /** The request has not been held yet. */
+    /** Value of {@code holdUntilMs} before the first hold. */
     public static final long NOT_HELD = -1;
   }
 
@@ -43,7 +46,7 @@
       return new QueueDecision.Reject(Math.round(waitMs));
     }
     long untilMs = holdUntilMs(request, times, nowMs);
-    return nowMs < untilMs ? new QueueDecision.Wait(untilMs) : new QueueDecision.Send();
+    return nowMs < untilMs ? new QueueDecision.Hold(untilMs) : new QueueDecision.Send();
   }
 
   private static long holdUntilMs(Request request, ServiceTimes times, long nowMs) {
@@ -54,7 +57,7 @@
     return nowMs + Math.round(Math.max(0, spareMs) * HELD_SHARE);
   }
 
-  /** A lower bound of the wait: that at the engine expected to have a free slot first. */
+  /** Returns the shortest expected wait at any of the engines; 0 if there are none. */
   public static double expectedWaitMs(List<EngineCapacity> engines, ServiceTimes times) {
     return engines.stream()
         .mapToDouble(engine -> engine.expectedWaitMs(times.slotTimeMs()))
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/RequestQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/RequestQueue.java
@@ -12,15 +12,15 @@
 /**
  * The requests of one service that wait for a free slot; bounded, confined to one thread.
  *
- * <p>It absorbs load beyond the engines' slots for some hundred milliseconds. Requests leave by
- * rank, then fairly between tenants, then by due time. A rank that has been skipped often enough is
- * next, so that it does not starve. When the queue is full, the newest request of the tenant with
- * the most waiting work is evicted.
+ * <p>The queue absorbs load beyond the engines' slots for a few hundred milliseconds. Requests
+ * leave by rank, then by fair queueing between tenants, then by due time. A rank is next after
+ * {@value #MAX_TIMES_SKIPPED} requests of other ranks, so that it does not starve. When the queue
+ * is full, it evicts the newest request of the tenant with the most waiting work.
  */
 public final class RequestQueue<T> {
   /**
-   * After how many requests of other ranks a waiting rank is next: urgent requests lose at most one
-   * send in nine to each less urgent rank.
+   * Number of requests of other ranks after which a waiting rank is next. Each less urgent rank
+   * takes at most one send in nine from urgent requests.
    */
   static final int MAX_TIMES_SKIPPED = 8;
 
@@ -31,21 +31,26 @@
   private long bytes;
   private long nextSequence;
 
-  /** Creates an empty queue; a single request in it may exceed {@code maxBytes}. */
+  /**
+   * Creates an empty queue. A request larger than {@code maxBytes} stays only while it is alone in
+   * it.
+   */
   public RequestQueue(int maxRequests, long maxBytes) {
     this.maxRequests = maxRequests;
     this.maxBytes = maxBytes;
   }
 
-  /** Adds a request that is not in the queue; returns the evicted ones, possibly itself. */
-  public List<WaitingRequest<T>> add(WaitingRequest<T> waiting) {
-    if (arrivals.containsKey(waiting.request())) {
+  /**
+   * Adds a request that is not in the queue; returns the evicted requests, which may include it.
+   */
+  public List<WaitingRequest<T>> add(WaitingRequest<T> waitingRequest) {
+    if (arrivals.containsKey(waitingRequest.request())) {
       throw new IllegalArgumentException("the request is already in the queue");
     }
-    TenantQueue.Arrival<T> arrival = new TenantQueue.Arrival<>(waiting, nextSequence++);
-    arrivals.put(waiting.request(), arrival);
-    bytes += waiting.bytes();
-    queuesByRank.computeIfAbsent(waiting.rank(), added -> new FairQueue<>()).add(arrival);
+    TenantQueue.Arrival<T> arrival = new TenantQueue.Arrival<>(waitingRequest, nextSequence++);
+    arrivals.put(waitingRequest.request(), arrival);
+    bytes += waitingRequest.bytes();
+    queuesByRank.computeIfAbsent(waitingRequest.rank(), rank -> new FairQueue<>()).add(arrival);
     List<WaitingRequest<T>> evicted = new ArrayList<>();
     while (arrivals.size() > 1 && (arrivals.size() > maxRequests || bytes > maxBytes)) {
       evicted.add(evictOne());
@@ -57,25 +62,29 @@
     String tenant = tenantWithMostWork();
     WaitingRequest<T> newest =
         arrivals.values().stream()
-            .filter(arrival -> arrival.waiting().tenant().equals(tenant))
+            .filter(arrival -> arrival.waitingRequest().tenant().equals(tenant))
             .max(Comparator.comparingLong(TenantQueue.Arrival::sequence))
             .orElseThrow()
-            .waiting();
+            .waitingRequest();
     remove(newest.request());
     return newest;
   }
 
   private String tenantWithMostWork() {
-    Map<String, Double> work = new HashMap<>();
+    Map<String, Double> workByTenant = new HashMap<>();
     for (TenantQueue.Arrival<T> arrival : arrivals.values()) {
-      work.merge(arrival.waiting().tenant(), arrival.waiting().work(), Double::sum);
+      workByTenant.merge(
+          arrival.waitingRequest().tenant(), arrival.waitingRequest().work(), Double::sum);
     }
-    return work.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
+    return workByTenant.entrySet().stream()
+        .max(Map.Entry.comparingByValue())
+        .orElseThrow()
+        .getKey();
   }
 
   /** Returns the next request, if any. */
   public Optional<WaitingRequest<T>> peek() {
-    return nextQueue().map(queue -> queue.first().waiting());
+    return nextQueue().map(queue -> queue.first().waitingRequest());
   }
 
   /** Removes and returns the next request, if any. */
@@ -90,22 +99,22 @@
         other.onSkipped();
       }
     }
-    forget(arrival.waiting());
-    return Optional.of(arrival.waiting());
+    forget(arrival.waitingRequest());
+    return Optional.of(arrival.waitingRequest());
   }
 
   private Optional<FairQueue<T>> nextQueue() {
-    FairQueue<T> best = null;
+    FairQueue<T> next = null;
     for (FairQueue<T> queue : queuesByRank.values()) {
       if (queue.isEmpty()) {
         continue;
       }
-      boolean starved = queue.timesSkipped() >= MAX_TIMES_SKIPPED;
-      if (best == null || (starved && queue.timesSkipped() > best.timesSkipped())) {
-        best = queue;
+      boolean isStarved = queue.timesSkipped() >= MAX_TIMES_SKIPPED;
+      if (next == null || (isStarved && queue.timesSkipped() > next.timesSkipped())) {
+        next = queue;
       }
     }
-    return Optional.ofNullable(best);
+    return Optional.ofNullable(next);
   }
 
   /**
@@ -116,22 +125,22 @@
     if (arrival == null) {
       return false;
     }
-    queuesByRank.get(arrival.waiting().rank()).remove(arrival);
-    forget(arrival.waiting());
+    queuesByRank.get(arrival.waitingRequest().rank()).remove(arrival);
+    forget(arrival.waitingRequest());
     return true;
   }
 
-  private void forget(WaitingRequest<T> waiting) {
-    arrivals.remove(waiting.request());
-    bytes -= waiting.bytes();
+  private void forget(WaitingRequest<T> waitingRequest) {
+    arrivals.remove(waitingRequest.request());
+    bytes -= waitingRequest.bytes();
   }
 
-  /** Whether the hold of any request has ended. */
+  /** Whether any request must be sent now even if no engine has a free slot. */
   public boolean hasExpiredHold(long nowMs) {
-    return arrivals.values().stream().anyMatch(arrival -> arrival.waiting().holdUntilMs() <= nowMs);
+    return arrivals.values().stream()
+        .anyMatch(arrival -> arrival.waitingRequest().holdUntilMs() <= nowMs);
   }
 
-  /** The number of waiting requests. */
   public int size() {
     return arrivals.size();
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/ServiceTimes.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/ServiceTimes.java
@@ -2,15 +2,15 @@
 
 /** Recent response and slot times of the requests of a service; confined to one thread. */
 public final class ServiceTimes {
-  /** Weight of a new sample: the means follow about ten requests. */
+  /** Weight of a new sample in the moving means, which thus follow about the last ten requests. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
   private double firstByteMs;
   private double slotTimeMs;
 
   /** Records the time from sending a request to an engine with a free slot to its first bytes. */
-  public void onFirstBytes(long afterMs) {
-    firstByteMs = movingMean(firstByteMs, afterMs);
+  public void onFirstBytes(long elapsedMs) {
+    firstByteMs = movingMean(firstByteMs, elapsedMs);
   }
 
   /** Records for how long a request held its slot. */
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/TenantQueue.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/TenantQueue.java
@@ -6,11 +6,11 @@
 /** The waiting requests of one tenant and rank, earliest due first. */
 final class TenantQueue<T> {
   /** A request and its position in the order of arrival. */
-  record Arrival<T>(WaitingRequest<T> waiting, long sequence) {}
+  record Arrival<T>(WaitingRequest<T> waitingRequest, long sequence) {}
 
   private final TreeSet<Arrival<T>> arrivals =
       new TreeSet<>(
-          Comparator.comparingLong((Arrival<T> arrival) -> arrival.waiting().dueMs())
+          Comparator.comparingLong((Arrival<T> arrival) -> arrival.waitingRequest().dueMs())
               .thenComparingLong(Arrival::sequence));
   private double finishTag;
 
@@ -40,7 +40,10 @@
     finishTag = startTag + work;
   }
 
-  /** Whether nothing waits and the charged work is past, so that the tenant can be removed. */
+  /**
+   * Whether no request waits and virtual time has passed the charged work, so that the tenant can
+   * be removed.
+   */
   boolean isIdle(double virtualTime) {
     return arrivals.isEmpty() && finishTag <= virtualTime;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/WaitingRequest.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/WaitingRequest.java
@@ -3,8 +3,10 @@
 /**
  * A request that waits to be sent to an engine.
  *
+ * @param request key of the request in the queue
  * @param tenant the tenant that is charged for it; empty if callers have no tenants
- * @param sinceMs when it began to wait
+ * @param rank its urgency
+ * @param waitingSinceMs when it began to wait
  * @param dueMs when its response should begin
  * @param holdUntilMs when it is sent even if no engine has a free slot
  * @param bytes its size in memory
@@ -14,7 +16,7 @@
     T request,
     String tenant,
     Rank rank,
-    long sinceMs,
+    long waitingSinceMs,
     long dueMs,
     long holdUntilMs,
     long bytes,
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchResultReads.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchResultReads.java
@@ -13,13 +13,13 @@
 
 /** Long-polling reads of batch results; confined to the consensus thread. */
 final class BatchResultReads {
-  private static final int MAX_PENDING = 4_096;
+  private static final int MAX_PENDING_READS = 4_096;
 
   private record PendingRead(ReadBatchResults read, long deadlineMs, ReplySink reply) {}
 
   private final GroupRuntime group;
   private final BatchStateMachine state;
-  private final List<PendingRead> pending = new ArrayList<>();
+  private final List<PendingRead> pendingReads = new ArrayList<>();
 
   BatchResultReads(GroupRuntime group, BatchStateMachine state) {
     this.group = group;
@@ -28,19 +28,19 @@
 
   /** Replies at once, or as soon as a result exists or the read times out. */
   void read(ReadBatchResults read, ReplySink reply, long nowMs) {
-    group.readLinearizably(() -> answerOrWait(read, reply, nowMs), reply, nowMs);
+    group.readLinearizably(() -> replyOrWait(read, reply, nowMs), reply, nowMs);
   }
 
-  private void answerOrWait(ReadBatchResults read, ReplySink reply, long nowMs) {
+  private void replyOrWait(ReadBatchResults read, ReplySink reply, long nowMs) {
     QueryResult result = state.query(read);
     boolean mustWait =
         read.waitMs() > 0
             && result instanceof BatchResults results
             && results.results().isEmpty()
             && results.next() < results.total()
-            && pending.size() < MAX_PENDING;
+            && pendingReads.size() < MAX_PENDING_READS;
     if (mustWait) {
-      pending.add(new PendingRead(read, nowMs + read.waitMs(), reply));
+      pendingReads.add(new PendingRead(read, nowMs + read.waitMs(), reply));
     } else {
       reply.reply(new QueryReply(result));
     }
@@ -50,12 +50,12 @@
    * Replies to pending reads that have a result or timed out; to all if this store does not lead.
    */
   void onStep(long nowMs) {
-    if (pending.isEmpty()) {
+    if (pendingReads.isEmpty()) {
       return;
     }
-    List<PendingRead> due = pending.stream().filter(read -> isDue(read, nowMs)).toList();
-    pending.removeAll(due);
-    for (PendingRead pendingRead : due) {
+    List<PendingRead> dueReads = pendingReads.stream().filter(read -> isDue(read, nowMs)).toList();
+    pendingReads.removeAll(dueReads);
+    for (PendingRead pendingRead : dueReads) {
       ReadBatchResults request = pendingRead.read();
       read(
           new ReadBatchResults(
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
@@ -36,11 +36,11 @@
  * Runs the items of batch jobs on engines while this store leads the group; confined to the
  * consensus thread.
  *
- * <p>An item is done only once its result is committed. Events of running items are recorded in the
- * replicated state every {@value #RECORD_INTERVAL_MS} ms, so that a new leader resumes after them.
- * Only the leader knows which item runs where. Every proposal names the event that it follows, and
- * the state machine accepts it only if that is the last recorded one; an item whose proposal is
- * rejected restarts after the recorded events.
+ * <p>An item is done only once its result is committed. Every {@value #RECORD_INTERVAL_MS} ms the
+ * leader records the events of running items in the replicated state, so that a new leader resumes
+ * after them. Only the leader knows which items run on which engines. Every proposal names the
+ * event before its first one, and the state machine accepts it only if that event is the last
+ * recorded one. If it rejects a proposal, the item restarts after the recorded events.
  */
 final class BatchRunner {
   private static final long SCHEDULE_INTERVAL_MS = 20;
@@ -49,9 +49,7 @@
   private static final long RETRY_DELAY_MS = 150;
   private static final long MAX_RETRY_DELAY_MS = 2_000;
 
-  /**
-   * Interval at which a quarantined item is tried again until it expires, in case it was released.
-   */
+  /** Delay before a quarantined item is tried again, in case it was released. */
   private static final long QUARANTINE_RETRY_DELAY_MS = 2_000;
 
   private static final int MAX_DOUBLINGS = 10;
@@ -68,9 +66,9 @@
   private final ControllerClock clock;
   private final EventLoop eventLoop;
   private final QuarantiningTransport transport;
-  private final Executor consensus;
+  private final Executor consensusExecutor;
   private final LoadPolls loadPolls;
-  private final BooleanSupplier engineListIsValid;
+  private final BooleanSupplier engineListIsRecent;
   private final EngineTable engines = new EngineTable(REPORT_HALF_LIFE_MS);
   private final ItemSlack slack;
   private final ItemScheduler scheduler;
@@ -81,10 +79,8 @@
   private long nextRecordMs;
 
   /**
-   * Creates a runner.
-   *
-   * @param engineListIsValid whether the engine list is recent enough to start items
-   * @param consensus runs actions on the consensus thread
+   * Creates a runner that starts items only while {@code engineListIsRecent} and handles outcomes
+   * and load reports on {@code consensusExecutor}.
    */
   BatchRunner(
       GroupRuntime group,
@@ -95,8 +91,8 @@
       EngineProtocol protocol,
       EngineCrashReporter reporter,
       EngineLoadBalancer loadBalancer,
-      BooleanSupplier engineListIsValid,
-      Executor consensus) {
+      BooleanSupplier engineListIsRecent,
+      Executor consensusExecutor) {
     this.group = group;
     this.state = state;
     this.slack = new ItemSlack(state::timeMs);
@@ -110,23 +106,23 @@
             livenessProbe,
             reporter,
             eventLoop,
-            engine -> consensus.execute(() -> engines.onDown(engine, clock.monotonicMs())));
-    this.engineListIsValid = engineListIsValid;
-    this.consensus = consensus;
+            engine -> consensusExecutor.execute(() -> engines.onDown(engine, clock.monotonicMs())));
+    this.engineListIsRecent = engineListIsRecent;
+    this.consensusExecutor = consensusExecutor;
     EngineLoadClient loadClient =
         new EngineLoadClient(
             transport,
             protocol,
-            (engineId, load) -> consensus.execute(() -> onReport(engineId, load)));
+            (engineId, load) -> consensusExecutor.execute(() -> onReport(engineId, load)));
     this.loadPolls = new LoadPolls(engine -> eventLoop.execute(() -> loadClient.fetch(engine)));
   }
 
-  /** Applies a changed view of the fleet. */
-  void onChange(FleetView changed) {
-    view = changed;
-    eventLoop.execute(() -> transport.updateQuarantine(changed.quarantine()));
-    if (changed.engines() != null) {
-      engines.update(changed.engines());
+  /** Applies a new view of the fleet. */
+  void onChange(FleetView newView) {
+    view = newView;
+    eventLoop.execute(() -> transport.updateQuarantine(newView.quarantine()));
+    if (newView.engines() != null) {
+      engines.update(newView.engines());
     }
   }
 
@@ -143,12 +139,12 @@
     nextScheduleMs = nowMs + SCHEDULE_INTERVAL_MS;
     runs.update(state.jobs(), this::stop, nowMs, state.timeMs());
     abortSilentStreams(nowMs);
-    giveUpExpired(nowMs);
+    giveUpExpiredItems(nowMs);
     recordProgress(nowMs);
     if (view.isComplete()) {
       boolean itemsWait = runs.all().stream().anyMatch(run -> run.mayStart(nowMs));
       loadPolls.onStep(engines.all(), itemsWait, nowMs);
-      if (engineListIsValid.getAsBoolean()) {
+      if (engineListIsRecent.getAsBoolean()) {
         scheduler.startItems(runs.all(), view, this::startOn, nowMs);
         scheduler
             .itemToMove(runs.all(), view, nowMs)
@@ -193,7 +189,7 @@
         ItemStream stream = run.stream();
         run.engine().onFailure(nowMs);
         if (stream.isOver()) {
-          // The stream has ended, but its outcome never reached this thread.
+          // The queue of the consensus thread was full and dropped the outcome.
           stop(run);
           continue;
         }
@@ -204,27 +200,27 @@
 
   // ---- progress
 
-  /** Proposes the events received since the last time, and requests newer ones from the streams. */
+  /** Proposes the events received since the last call, and requests newer ones from the streams. */
   private void recordProgress(long nowMs) {
     if (nowMs < nextRecordMs) {
       return;
     }
     nextRecordMs = nowMs + RECORD_INTERVAL_MS;
     List<BatchProgress> progress = new ArrayList<>();
-    List<ItemRun> affected = new ArrayList<>();
+    List<ItemRun> affectedRuns = new ArrayList<>();
     for (ItemRun run : runs.all()) {
       run.takeUnrecorded()
           .ifPresent(
               events -> {
                 progress.add(events);
-                affected.add(run);
+                affectedRuns.add(run);
               });
       if (run.isRunning()) {
         requestEvents(run);
       }
     }
     if (!progress.isEmpty()) {
-      propose(new RecordBatchProgress(progress), affected);
+      propose(new RecordBatchProgress(progress), affectedRuns);
     }
   }
 
@@ -234,7 +230,7 @@
     eventLoop.execute(
         () ->
             stream.drainEvents(
-                events -> consensus.execute(() -> onEvents(run, expectedTerm, events))));
+                events -> consensusExecutor.execute(() -> onEvents(run, expectedTerm, events))));
   }
 
   private void onEvents(ItemRun run, long expectedTerm, ItemEvents events) {
@@ -258,28 +254,28 @@
   private void restart(ItemRun run) {
     stop(run);
     runs.remove(run);
-    long recorded = run.job.progress(run.item.id()).lastEvent();
-    ItemLog.restarted(run, recorded);
+    long recordedEvent = run.job.progress(run.item.id()).lastEvent();
+    ItemLog.restarted(run, recordedEvent);
   }
 
-  /** Proposes a command; restarts the affected items when it is rejected. */
-  private void propose(Command command, List<ItemRun> affected) {
+  /** Proposes a command; restarts the affected items if it is rejected. */
+  private void propose(Command command, List<ItemRun> affectedRuns) {
     long expectedTerm = term;
     group.propose(
         "",
         0,
         command,
         reply -> {
-          boolean accepted =
+          boolean isAccepted =
               reply instanceof ProposeReply proposed && proposed.result() instanceof Done;
-          if (!accepted && expectedTerm == term) {
-            affected.forEach(this::restart);
+          if (!isAccepted && expectedTerm == term) {
+            affectedRuns.forEach(this::restart);
           }
         },
         clock);
   }
 
-  private void giveUpExpired(long nowMs) {
+  private void giveUpExpiredItems(long nowMs) {
     for (ItemRun run : runs.copy()) {
       long ageMs = run.minAgeMs(nowMs);
       long retainMs = run.job.submission().retainMs();
@@ -296,12 +292,14 @@
     long nowMs = clock.monotonicMs();
     long slackMs = slack.slackMs(run, relativePace, nowMs);
     long expectedTerm = term;
-    ItemStream[] started = new ItemStream[1];
+    ItemStream[] streamHolder = new ItemStream[1];
     ItemStream stream =
         new ItemStream(
             run.lastEvent(),
-            outcome -> consensus.execute(() -> onOutcome(run, started[0], expectedTerm, outcome)));
-    started[0] = stream;
+            outcome ->
+                consensusExecutor.execute(
+                    () -> onOutcome(run, streamHolder[0], expectedTerm, outcome)));
+    streamHolder[0] = stream;
     ItemLog.started(run, engine, relativePace, run.dueMs() - state.timeMs(), slackMs, nowMs);
     run.onStart(stream, engine, relativePace, nowMs);
     engine.onStart(nowMs);
@@ -368,8 +366,8 @@
   }
 
   /**
-   * Doubles with each unclear response, so that an item that gets no other one does not occupy
-   * engines all the time.
+   * The delay doubles with each unclear response, up to {@link #MAX_RETRY_DELAY_MS}, so that an
+   * item with only unclear responses does not occupy slots continuously.
    */
   private static long unclearRetryDelayMs(int unclearResponses) {
     int doublings = Math.min(unclearResponses, MAX_DOUBLINGS);
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemEvents.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemEvents.java
@@ -1,11 +1,11 @@
 package io.pathdeck.fleet.store;
 
 /**
- * Events that an attempt to run an item received.
+ * Events received by an attempt to run an item.
  *
- * @param afterEvent the event that they follow; -1 if they are the first
- * @param lastEvent the last of them; {@code afterEvent} if there are none
- * @param text their data, one line each
+ * @param afterEvent number of the event before the first one; -1 if there is none
+ * @param lastEvent number of the last event; {@code afterEvent} if there are no events
+ * @param text data of the events, one line each
  */
 record ItemEvents(long afterEvent, long lastEvent, String text) {
   boolean isEmpty() {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemLog.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemLog.java
@@ -5,7 +5,7 @@
 import io.pathdeck.fleet.engine.EngineState;
 import java.util.Locale;
 
-/** Logs the events of batch items. */
+/** Logs starts, retries and results of batch items. */
 final class ItemLog {
   private static final EventLog EVENTS = EventLog.of(ItemLog.class);
 
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemOutcome.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemOutcome.java
@@ -1,10 +1,12 @@
 package io.pathdeck.fleet.store;
 
 /**
- * How an attempt to run an item on an engine ended.
+ * The outcome of an attempt to run an item on an engine.
  *
- * @param events the events that were not drained before
+ * @param kind how the attempt ended
+ * @param events the events not drained before
  * @param retryAfterMs delay before the engine may be called again
+ * @param reason explanation for the log
  */
 record ItemOutcome(Kind kind, ItemEvents events, long retryAfterMs, String reason) {
 
@@ -23,7 +25,7 @@
     IMPOSSIBLE,
     /** The item is quarantined because engines exit while they run it; it was not sent. */
     QUARANTINED,
-    /** The stream ended early. */
+    /** The stream ended before the response was complete. */
     BROKEN,
     /** The attempt was canceled to free a slot for online requests, or to move the item. */
     YIELDED
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemPlacement.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemPlacement.java
@@ -7,26 +7,24 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Selects the engines on which an item should start when engines differ in speed; pure.
+ * Selects the engines on which an item should start when engines differ in speed; has no state.
  *
- * <p>Online requests avoid slow engines, so an item that can wait takes nothing from them there. An
- * item with little slack goes to engines that are not slow. No item starts where it would be late:
- * it waits for another engine, unless it will be late anyway.
+ * <p>Online requests avoid slow engines, so late and deferrable items prefer them. Urgent items
+ * prefer the other engines. An item does not start on an engine where it would be late, unless it
+ * is late already.
  */
 final class ItemPlacement {
   /**
-   * Slack that an item needs on an engine where it may be interrupted: a few stops for online
-   * requests, each with a retry delay and the move to the next engine.
+   * Minimum slack of a deferrable item on an engine; covers a few stops for online requests, each
+   * with a retry delay and a move to another engine.
    */
   private static final long INTERRUPTION_MARGIN_MS = 2_000;
 
   private ItemPlacement() {}
 
   /**
-   * Returns the engines on which an item should start.
-   *
-   * @param available the engines with a free slot
-   * @param slackAt how long the item can wait and still be on time on an engine
+   * Returns the suitable engines among {@code available}, which have a free slot; {@code slackAt}
+   * returns the slack of the item on an engine.
    */
   static List<EngineState> candidates(
       List<EngineState> available,
@@ -38,20 +36,21 @@
     }
     Predicate<EngineState> isSlow = pace::isSlow;
     return switch (urgency) {
-      case LATE -> preferring(isSlow, available);
-      case URGENT -> preferring(isSlow.negate(), withSlack(available, slackAt, 0));
-      case DEFERRABLE -> preferring(isSlow, withSlack(available, slackAt, INTERRUPTION_MARGIN_MS));
+      case LATE -> preferMatching(isSlow, available);
+      case URGENT -> preferMatching(isSlow.negate(), filterBySlack(available, slackAt, 0));
+      case DEFERRABLE ->
+          preferMatching(isSlow, filterBySlack(available, slackAt, INTERRUPTION_MARGIN_MS));
     };
   }
 
-  private static List<EngineState> withSlack(
+  private static List<EngineState> filterBySlack(
       List<EngineState> available, ToLongFunction<EngineState> slackAt, long minSlackMs) {
     return available.stream().filter(engine -> slackAt.applyAsLong(engine) >= minSlackMs).toList();
   }
 
-  private static List<EngineState> preferring(
-      Predicate<EngineState> wanted, List<EngineState> engines) {
-    List<EngineState> preferred = engines.stream().filter(wanted).toList();
-    return preferred.isEmpty() ? engines : preferred;
+  private static List<EngineState> preferMatching(
+      Predicate<EngineState> predicate, List<EngineState> engines) {
+    List<EngineState> matching = engines.stream().filter(predicate).toList();
+    return matching.isEmpty() ? engines : matching;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRun.java
@@ -13,8 +13,8 @@
 /**
  * The leader's state of an item that has no result yet; confined to the consensus thread.
  *
- * <p>It starts after the events that are recorded in the replicated state. Later events are kept
- * here, in order, until they are proposed.
+ * <p>A run starts after the events recorded in the replicated state. It keeps later events, in
+ * order, until the leader proposes them.
  */
 final class ItemRun {
   final BatchJob job;
@@ -27,28 +27,25 @@
   private long recordedEvent;
   private long lastEvent;
   private int failures;
-  private int unclearAnswers;
+  private int unclearResponses;
   private long notBeforeMs;
   private long normalizedRunMs;
   private long startedMs;
   private boolean finished;
 
-  /** The current attempt and its engine; null if the item does not run. */
+  /** The current attempt; null, like {@link #engine}, if the item does not run. */
   private ItemStream stream;
 
   private EngineState engine;
 
-  /** Work takes this many times as long on the current engine as on one of median pace. */
   private double relativePace = 1;
 
   private long paceSampleEvent;
   private long paceSampleMs;
 
   /**
-   * Creates the run of an item.
-   *
-   * @param nowMs when this leader first saw the item, by its monotonic clock
-   * @param logTimeMs the log time at that moment
+   * Creates the run of an item that this leader first sees at {@code nowMs} by its monotonic clock
+   * and at {@code logTimeMs} in log time.
    */
   ItemRun(BatchJob job, BatchItem item, long nowMs, long logTimeMs) {
     this.job = job;
@@ -98,16 +95,16 @@
   }
 
   /**
-   * Total run time of the attempts since this store became leader. Time on a slow engine counts as
-   * what one of median pace would have taken for the same work.
+   * Returns the total run time since this store became leader. The time on each engine is divided
+   * by its relative pace.
    */
   long normalizedRunMs(long nowMs) {
     return normalizedRunMs + (stream == null ? 0 : Math.round((nowMs - startedMs) / relativePace));
   }
 
   /**
-   * How many times as long work takes on the current engine as on one of median pace; 1 if there is
-   * none.
+   * Returns the run time on the current engine relative to an engine of median pace; 1 if the item
+   * does not run.
    */
   double relativePace() {
     return relativePace;
@@ -117,7 +114,7 @@
     relativePace = newRelativePace;
   }
 
-  private void reportMomentaryPace() {
+  private void reportEnginePace() {
     EngineLoadReport load = stream.load();
     if (load != null && load.pacePercent() != EngineLoadReport.PACE_UNKNOWN) {
       engine.pace().onReported(load.pacePercent(), stream.headReceivedMs());
@@ -130,24 +127,24 @@
   }
 
   /**
-   * The number of events recorded before this run began. Without them an item that is nearly
-   * complete would look urgent after each change of leader.
+   * The number of events recorded before this run began. Without them, a nearly complete item would
+   * look urgent after each change of leader.
    */
   long inheritedEvents() {
     return inheritedEvents;
   }
 
   /**
-   * Reports the events since the last call to the engine's pace and to {@code eventTimes}. The
-   * first events of an attempt only start a sample, because the time before them includes queueing
-   * and prefill.
+   * Records the time per event since the last call in the engine's pace and passes it to {@code
+   * eventTimes}. The first events of an attempt only start a sample, because the time before them
+   * includes queueing and prefill.
    */
   void reportPace(long nowMs, EventTimeListener eventTimes) {
     if (engine == null || lastEvent <= paceSampleEvent) {
       return;
     }
     if (paceSampleMs <= startedMs) {
-      reportMomentaryPace();
+      reportEnginePace();
     } else {
       long events = lastEvent - paceSampleEvent;
       long spanMs = nowMs - paceSampleMs;
@@ -180,7 +177,7 @@
     return lastEvent;
   }
 
-  /** Takes the events that were not proposed yet; from then on they count as recorded. */
+  /** Returns the events not proposed yet, if any, and counts them as recorded. */
   Optional<BatchProgress> takeUnrecorded() {
     if (lastEvent == recordedEvent || finished) {
       return Optional.empty();
@@ -193,32 +190,32 @@
     return Optional.of(progress);
   }
 
-  /** Returns the outcome of the completed item; it does not run again. */
+  /** Marks the item as completed and returns its outcome. */
   BatchOutcome finishCompleted() {
     finished = true;
     return new BatchOutcome(item.id(), true, recordedEvent, unrecordedText);
   }
 
-  /** Returns the outcome of an item that is given up; it does not run again. */
+  /** Marks the item as given up and returns its outcome. */
   BatchOutcome finishGivenUp() {
     finished = true;
     return BatchOutcome.givenUp(item.id());
   }
 
-  /** How long this leader has known the item. */
+  /** Returns for how long this leader has known the item. */
   long knownMs(long nowMs) {
     return nowMs - knownSinceMs;
   }
 
   /**
-   * A lower bound of the time since submission. Log time runs too fast while it catches up after an
-   * outage; an age by log time alone would give items up too early.
+   * Returns a lower bound of the time since submission. Log time runs too fast while it catches up
+   * after an outage, so an age in log time alone would give items up too early.
    */
   long minAgeMs(long nowMs) {
     return minAgeWhenKnownMs + knownMs(nowMs);
   }
 
-  /** How long the current attempt has run. */
+  /** Returns for how long the current attempt has run; 0 if there is none. */
   long attemptMs(long nowMs) {
     return stream == null ? 0 : nowMs - startedMs;
   }
@@ -233,11 +230,11 @@
 
   /** Counts an unclear response and returns their number so far. */
   int countUnclearResponse() {
-    return ++unclearAnswers;
+    return ++unclearResponses;
   }
 
-  void waitUntil(long nextMs) {
-    notBeforeMs = nextMs;
+  void waitUntil(long untilMs) {
+    notBeforeMs = untilMs;
   }
 
   boolean isFinished() {
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemRuns.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemRuns.java
@@ -18,22 +18,22 @@
     return new ItemKey(run.job.submission().jobId(), run.item.id());
   }
 
-  /** A live view of all runs; see {@link #copy} for loops that remove some. */
+  /** Returns a live view of all runs. */
   Collection<ItemRun> all() {
     return runs.values();
   }
 
-  /** A copy of all runs. */
+  /** Returns a copy of all runs, for loops that remove some. */
   List<ItemRun> copy() {
     return List.copyOf(runs.values());
   }
 
   /**
-   * Adds a run for each open item, and removes those of items that have a result or whose job has
-   * ended, after passing them to {@code onRemoved}.
+   * Passes the runs of items that have a result or whose job has ended to {@code onRemoved} and
+   * removes them, then adds a run for each new open item.
    */
   void update(Collection<BatchJob> jobs, Consumer<ItemRun> onRemoved, long nowMs, long logTimeMs) {
-    runs.values().removeIf(run -> isOver(run, onRemoved));
+    runs.values().removeIf(run -> notifyIfOver(run, onRemoved));
     for (BatchJob job : jobs) {
       if (job.isActive()) {
         job.openItems().values().forEach(item -> addIfAbsent(job, item, nowMs, logTimeMs));
@@ -41,17 +41,17 @@
     }
   }
 
-  private static boolean isOver(ItemRun run, Consumer<ItemRun> onRemoved) {
-    boolean over = run.job.isEnded() || !run.job.openItems().containsKey(run.item.id());
-    if (over) {
+  private static boolean notifyIfOver(ItemRun run, Consumer<ItemRun> onRemoved) {
+    boolean isOver = run.job.isEnded() || !run.job.openItems().containsKey(run.item.id());
+    if (isOver) {
       onRemoved.accept(run);
     }
-    return over;
+    return isOver;
   }
 
   private void addIfAbsent(BatchJob job, BatchItem item, long nowMs, long logTimeMs) {
     ItemKey key = new ItemKey(job.submission().jobId(), item.id());
-    runs.computeIfAbsent(key, absent -> new ItemRun(job, item, nowMs, logTimeMs));
+    runs.computeIfAbsent(key, newKey -> new ItemRun(job, item, nowMs, logTimeMs));
   }
 
   /** Removes a run; the next {@link #update} adds a new one for the item. */
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemScheduler.java
@@ -26,12 +26,12 @@
  */
 final class ItemScheduler {
   /**
-   * How many items per step may find only engines that are too slow for them. Those behind them
-   * have more slack, and examining all of a long queue costs processor time.
+   * Number of items per step that may find only engines too slow for them. Later items are less
+   * urgent, and examining all of a long queue costs processor time.
    */
-  private static final int MAX_UNPLACED = 8;
+  private static final int MAX_UNPLACED_ITEMS = 8;
 
-  /** Starts an item on the engine that was chosen for it. */
+  /** Starts an item on the chosen engine. */
   interface Starter {
     void start(ItemRun run, EngineState engine, double relativePace);
   }
@@ -40,7 +40,7 @@
   private final EngineLoadBalancer loadBalancer;
   private final ItemSlack slack;
   private final BatchSlotPolicy slotPolicy = new BatchSlotPolicy();
-  private final TrafficSplit split = new TrafficSplit();
+  private final TrafficSplit trafficSplit = new TrafficSplit();
   private long leaderSinceMs;
 
   ItemScheduler(EngineTable engines, EngineLoadBalancer loadBalancer, ItemSlack slack) {
@@ -55,42 +55,42 @@
 
   // ---- starts
 
-  /** Starts the items that may start and find a free slot, in order of urgency. */
+  /** Starts waiting items on engines with a free slot, in order of urgency. */
   void startItems(Collection<ItemRun> runs, FleetView view, Starter starter, long nowMs) {
     Set<String> fullServices = new HashSet<>();
-    int unplaced = 0;
+    int unplacedItems = 0;
     Map<String, ServicePace> paces = new HashMap<>();
     for (ItemRun run : startableItems(runs, nowMs)) {
       Optional<RouteSpec> route = view.routes().match(run.job.submission().host(), run.item.path());
       if (route.isEmpty()) {
         continue;
       }
-      String service = split.next(route.get());
+      String service = trafficSplit.next(route.get());
       if (fullServices.contains(service)) {
         continue;
       }
       ServicePace pace = paces.computeIfAbsent(service, name -> engines.pace(name, nowMs));
       List<EngineState> available = availableEngines(service, view, nowMs);
       ItemStartResult result = startItem(run, available, pace, starter, nowMs);
-      unplaced += result == ItemStartResult.NO_ENGINE_FAST_ENOUGH ? 1 : 0;
-      if (result == ItemStartResult.NO_FREE_SLOT || unplaced > MAX_UNPLACED) {
+      unplacedItems += result == ItemStartResult.NO_ENGINE_FAST_ENOUGH ? 1 : 0;
+      if (result == ItemStartResult.NO_FREE_SLOT || unplacedItems > MAX_UNPLACED_ITEMS) {
         fullServices.add(service);
       }
     }
   }
 
   private List<ItemRun> startableItems(Collection<ItemRun> runs, long nowMs) {
-    List<ItemRun> startable = new ArrayList<>();
+    List<ItemRun> startableRuns = new ArrayList<>();
     for (ItemRun run : runs) {
       if (run.mayStart(nowMs)) {
-        startable.add(run);
+        startableRuns.add(run);
       }
     }
-    startable.sort(slack.startOrder(nowMs));
-    return startable;
+    startableRuns.sort(slack.startOrder(nowMs));
+    return startableRuns;
   }
 
-  /** Engines on which an item may start. */
+  /** Returns the engines on which an item may start. */
   private List<EngineState> availableEngines(String service, FleetView view, long nowMs) {
     int groups = Math.max(1, view.jobsFounders().size());
     long leadingForMs = nowMs - leaderSinceMs;
@@ -101,7 +101,7 @@
         .toList();
   }
 
-  /** Starts an item on the most suitable engine. */
+  /** Starts an item on the most suitable engine, if any. */
   private ItemStartResult startItem(
       ItemRun run, List<EngineState> available, ServicePace pace, Starter starter, long nowMs) {
     if (available.isEmpty()) {
@@ -110,32 +110,32 @@
     ItemUrgency urgency = slack.urgency(run, nowMs);
     ToLongFunction<EngineState> slackAt =
         engine -> slack.slackMs(run, pace.relativePace(engine), nowMs);
-    List<EngineState> preferred = ItemPlacement.candidates(available, pace, urgency, slackAt);
-    Optional<Placement> chosen = loadBalancer.choose(preferred, pace, Prompt.UNKNOWN, nowMs);
-    if (chosen.isEmpty()) {
+    List<EngineState> candidates = ItemPlacement.candidates(available, pace, urgency, slackAt);
+    Optional<Placement> placement = loadBalancer.choose(candidates, pace, Prompt.UNKNOWN, nowMs);
+    if (placement.isEmpty()) {
       return ItemStartResult.NO_ENGINE_FAST_ENOUGH;
     }
-    EngineState engine = chosen.get().engine();
+    EngineState engine = placement.get().engine();
     starter.start(run, engine, pace.relativePace(engine));
     return ItemStartResult.STARTED;
   }
 
   // ---- stops
 
-  /** The items to stop at once on an engine whose load report has just arrived. */
+  /** Returns the items to stop on an engine whose load report has just arrived. */
   List<ItemRun> itemsToYield(
       Collection<ItemRun> runs, EngineState engine, EngineLoadReport load, long nowMs) {
-    boolean slow = engines.pace(engine.instance().service(), nowMs).isSlow(engine);
+    boolean isSlow = engines.pace(engine.instance().service(), nowMs).isSlow(engine);
     return runs.stream()
         .filter(run -> run.isRunning() && run.engine() == engine)
         .sorted(slack.startOrder(nowMs).reversed())
-        .limit(slotPolicy.itemsToYield(engine, load, slow))
+        .limit(slotPolicy.yieldCount(engine, load, isSlow))
         .toList();
   }
 
   /**
-   * An item that will be late where it runs but can be on time elsewhere, if an engine that is not
-   * slow has a free slot. One at a time, so that the slot is taken before the next item is stopped.
+   * Returns an item that will be late on a slow engine but can be on time on another one with a
+   * free slot. One at a time, so that it takes the slot before the next item is stopped.
    */
   Optional<ItemRun> itemToMove(Collection<ItemRun> runs, FleetView view, long nowMs) {
     return runs.stream()
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemSlack.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemSlack.java
@@ -5,40 +5,37 @@
 
 /** Computes how long items can wait and still be on time; confined to one thread. */
 final class ItemSlack {
-  /** Slack that an item needs to be moved: the delay after a stop and some scheduling steps. */
+  /** Minimum slack for a move; covers the retry delay after a stop and a few scheduling steps. */
   private static final long MOVE_MARGIN_MS = 800;
 
-  private final RunTimeEstimate runTimes = new RunTimeEstimate();
+  private final RunTimeEstimate runTimeEstimate = new RunTimeEstimate();
   private final LongSupplier logTimeMs;
 
-  /** Uses log time, in which items are due. */
+  /** Computes slack from log time, in which due times are given. */
   ItemSlack(LongSupplier logTimeMs) {
     this.logTimeMs = logTimeMs;
   }
 
   void onItemCompleted(ItemRun run, long nowMs) {
     if (run.startedAtFirstEvent()) {
-      runTimes.onItemCompleted(run.item.outputTokens(), run.normalizedRunMs(nowMs));
+      runTimeEstimate.onItemCompleted(run.item.outputTokens(), run.normalizedRunMs(nowMs));
     }
   }
 
   /** Updates the pace of the engine and the time per event from new events of a running item. */
   void onEvents(ItemRun run, long nowMs) {
-    run.reportPace(nowMs, runTimes::onEvents);
+    run.reportPace(nowMs, runTimeEstimate::onEvents);
   }
 
-  /** The slack of an item on its current engine, or on one of median pace if it does not run. */
+  /** Returns the slack on the current engine, or on one of median pace if the item does not run. */
   long slackMs(ItemRun run, long nowMs) {
     return slackMs(run, run.relativePace(), nowMs);
   }
 
-  /**
-   * The slack on an engine where work takes {@code relativePace} times as long as on one of median
-   * pace.
-   */
+  /** Returns the slack on an engine with this relative pace; see {@link ItemRun#relativePace}. */
   long slackMs(ItemRun run, double relativePace, long nowMs) {
-    long runMs = runTimes.eventsMs(run.inheritedEvents()) + run.normalizedRunMs(nowMs);
-    long remainingMs = runTimes.remainingMs(run.item.outputTokens(), runMs);
+    long runMs = runTimeEstimate.eventsRunMs(run.inheritedEvents()) + run.normalizedRunMs(nowMs);
+    long remainingMs = runTimeEstimate.remainingMs(run.item.outputTokens(), runMs);
     return run.dueMs() - logTimeMs.getAsLong() - Math.round(remainingMs * relativePace);
   }
 
@@ -46,12 +43,12 @@
     return ItemUrgency.of(slackMs(run, nowMs));
   }
 
-  /** Whether an item will be late where it runs but can be on time on an engine of median pace. */
+  /** Whether an item will be late on its current engine but on time on one of median pace. */
   boolean canBeOnTimeElsewhere(ItemRun run, long nowMs) {
     return slackMs(run, nowMs) < 0 && slackMs(run, 1, nowMs) >= MOVE_MARGIN_MS;
   }
 
-  /** Urgent items first, late ones last; within each group the one with the least slack first. */
+  /** Orders items by urgency, then by slack, least slack first. */
   Comparator<ItemRun> startOrder(long nowMs) {
     return Comparator.<ItemRun, ItemUrgency>comparing(run -> urgency(run, nowMs))
         .thenComparingLong(run -> slackMs(run, nowMs));
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemStartResult.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemStartResult.java
@@ -1,9 +1,9 @@
 package io.pathdeck.fleet.store;
 
-/** The result of trying to start an item. */
+/** Tells {@link ItemScheduler} whether to try further items of the same service. */
 enum ItemStartResult {
   STARTED,
-  /** The engines with a free slot are too slow for this item; others may start there. */
+  /** The engines with a free slot are too slow for this item; other items may start there. */
   NO_ENGINE_FAST_ENOUGH,
   NO_FREE_SLOT
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemStream.java
@@ -16,15 +16,15 @@
  * noted.
  */
 final class ItemStream implements EngineListener {
-  private static final int SUCCESS_FROM = 200;
-  private static final int SUCCESS_TO = 300;
-  private static final int UNPROCESSABLE = 422;
+  private static final int FIRST_SUCCESS_STATUS = 200;
+  private static final int FIRST_REDIRECTION_STATUS = 300;
+  private static final int UNPROCESSABLE_CONTENT = 422;
   private static final int INTERNAL_SERVER_ERROR = 500;
   private static final long DEFAULT_RETRY_AFTER_MS = 100;
 
   private final Consumer<ItemOutcome> listener;
   private final SseEventScanner scanner;
-  private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream undrainedData = new ByteArrayOutputStream();
   private EngineTransport.Handle handle;
   private EngineResponse response;
   private volatile EngineLoadReport load;
@@ -82,7 +82,10 @@
     }
   }
 
-  /** Passes on the complete events of a running attempt that were not drained before. */
+  /**
+   * Passes the complete events not drained before to {@code receiver}; none after the attempt has
+   * ended.
+   */
   void drainEvents(Consumer<ItemEvents> receiver) {
     ItemEvents events = over ? null : takeEvents();
     if (events != null && !events.isEmpty()) {
@@ -91,8 +94,8 @@
   }
 
   private ItemEvents takeEvents() {
-    String text = SseEventScanner.dataOf(collected.toByteArray());
-    collected.reset();
+    String text = SseEventScanner.dataOf(undrainedData.toByteArray());
+    undrainedData.reset();
     long afterEvent = lastDrainedEvent;
     lastDrainedEvent = Math.max(afterEvent, scanner.lastId());
     return new ItemEvents(afterEvent, lastDrainedEvent, text);
@@ -103,7 +106,7 @@
     return over;
   }
 
-  /** When the attempt began or last received something; safe from any thread. */
+  /** Returns when data last arrived, or when the attempt began; safe from any thread. */
   long lastReceivedMs() {
     return lastReceivedMs;
   }
@@ -127,7 +130,8 @@
   }
 
   private boolean isSuccess() {
-    return response.status() >= SUCCESS_FROM && response.status() < SUCCESS_TO;
+    return response.status() >= FIRST_SUCCESS_STATUS
+        && response.status() < FIRST_REDIRECTION_STATUS;
   }
 
   @Override
@@ -136,7 +140,7 @@
     if (over || !isSuccess()) {
       return;
     }
-    collected.writeBytes(scanner.feed(chunk));
+    undrainedData.writeBytes(scanner.feed(chunk));
     if (scanner.problem() != null) {
       abort(scanner.problem());
     }
@@ -154,7 +158,7 @@
       finish(ItemOutcome.Kind.OTHER_INSTANCE, "another engine");
     } else if (response.notRun()) {
       finish(ItemOutcome.Kind.REFUSED, "refused with " + response.status());
-    } else if (response.status() == UNPROCESSABLE) {
+    } else if (response.status() == UNPROCESSABLE_CONTENT) {
       finish(ItemOutcome.Kind.IMPOSSIBLE, "impossible");
     } else if (response.status() == INTERNAL_SERVER_ERROR) {
       finish(ItemOutcome.Kind.FAILED, "status " + response.status());
--- a/fleet/src/main/java/io/pathdeck/fleet/store/ItemUrgency.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/ItemUrgency.java
@@ -7,19 +7,15 @@
   /** Can wait and still be on time. */
   DEFERRABLE,
   /**
-   * Cannot be on time any more. Its result is still wanted, but must not delay online requests or
-   * items that can be on time.
+   * Cannot be on time any more. The item still runs, but must not delay online requests or items
+   * that can be on time.
    */
   LATE;
 
   /** Items with less slack are urgent. Covers a few stops and moves to other engines. */
   private static final long URGENT_SLACK_MS = 4_000;
 
-  /**
-   * Returns the urgency of an item.
-   *
-   * @param slackMs how long the item can wait and still be on time
-   */
+  /** Returns the urgency of an item that can wait for {@code slackMs} and still be on time. */
   static ItemUrgency of(long slackMs) {
     if (slackMs < 0) {
       return LATE;
--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobSubmissions.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobSubmissions.java
@@ -24,7 +24,7 @@
   private final BatchStateMachine state;
   private final ControllerClock clock;
 
-  /** The waiting replies for each job that is in the log but not applied yet. */
+  /** Callers to reply to, by id of a job that is in the log but not applied yet. */
   private final Map<String, List<ReplySink>> pendingReplies = new HashMap<>();
 
   JobSubmissions(GroupRuntime group, BatchStateMachine state, ControllerClock clock) {
@@ -39,8 +39,8 @@
     if (replies != null) {
       replies.add(reply);
     } else if (state.job(jobId).isPresent()) {
-      ProposeReply accepted = new ProposeReply(new BatchAccepted(jobId));
-      group.readLinearizably(() -> reply.reply(accepted), reply, clock.monotonicMs());
+      ProposeReply acceptedReply = new ProposeReply(new BatchAccepted(jobId));
+      group.readLinearizably(() -> reply.reply(acceptedReply), reply, clock.monotonicMs());
     } else {
       propose(submission, reply);
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
@@ -64,7 +64,7 @@
       String zone,
       EngineProtocol protocol,
       EngineCrashReporter reporter,
-      BooleanSupplier engineListIsValid) {
+      BooleanSupplier engineListIsRecent) {
     this.number = number;
     this.host = host;
     this.pool = pool;
@@ -80,7 +80,7 @@
             protocol,
             reporter,
             new EngineLoadBalancer(zone, System.nanoTime()),
-            engineListIsValid,
+            engineListIsRecent,
             host::execute);
   }
 
@@ -93,7 +93,7 @@
       EventLoop eventLoop,
       EngineProtocol protocol,
       EngineCrashReporter reporter,
-      BooleanSupplier engineListIsValid) {
+      BooleanSupplier engineListIsRecent) {
     BatchStateMachine state = new BatchStateMachine();
     return ReplicaHost.open(options(number, fleet, state), folder, pool)
         .map(
@@ -107,7 +107,7 @@
                     fleet.zone(),
                     protocol,
                     reporter,
-                    engineListIsValid));
+                    engineListIsRecent));
   }
 
   static ReplicaHost.Options options(int number, FleetSettings fleet, BatchStateMachine state) {
@@ -150,13 +150,14 @@
       report = null;
       return;
     }
-    GroupConfiguration committed = group.replica().committedConfiguration().orElse(null);
-    boolean changed =
+    GroupConfiguration committedConfiguration =
+        group.replica().committedConfiguration().orElse(null);
+    boolean isChanged =
         report == null
             || report.term() != group.replica().term()
-            || !report.configuration().equals(committed);
-    if (committed != null && changed) {
-      report = new JobsGroupReport(number, group.replica().term(), committed);
+            || !report.configuration().equals(committedConfiguration);
+    if (committedConfiguration != null && isChanged) {
+      report = new JobsGroupReport(number, group.replica().term(), committedConfiguration);
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/store/LoadPolls.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/LoadPolls.java
@@ -6,16 +6,15 @@
 import java.util.function.Consumer;
 
 /**
- * Polls engines for their load: while batch items wait or run, the load of online requests must be
- * known. Confined to the consensus thread.
+ * Polls engines for their load while batch items wait or run; confined to the consensus thread.
  *
  * <p>Engines that run items are polled more often, because an item yields only once a report shows
- * a waiting request. Of a typical latency target of 300 ms, half is left for the poll interval, the
- * transfer of the report and the stop.
+ * a waiting request. The poll interval, the transfer of the report and the stop together take at
+ * most half of a typical latency target of 300 ms.
  */
 final class LoadPolls {
-  static final long BUSY_INTERVAL_MS = 100;
-  static final long IDLE_INTERVAL_MS = 300;
+  static final long BUSY_POLL_INTERVAL_MS = 100;
+  static final long IDLE_POLL_INTERVAL_MS = 300;
 
   private final Consumer<EngineInstance> requestReport;
   private long nextBusyPollMs;
@@ -25,7 +24,7 @@
     this.requestReport = requestReport;
   }
 
-  /** Polls the engines that are due; those without items only while {@code itemsWait}. */
+  /** Polls the engines that are due; engines without items only while {@code itemsWait}. */
   void onStep(Collection<EngineState> engines, boolean itemsWait, long nowMs) {
     boolean busyDue = nowMs >= nextBusyPollMs;
     boolean idleDue = itemsWait && nowMs >= nextIdlePollMs;
@@ -36,10 +35,10 @@
       }
     }
     if (busyDue) {
-      nextBusyPollMs = nowMs + BUSY_INTERVAL_MS;
+      nextBusyPollMs = nowMs + BUSY_POLL_INTERVAL_MS;
     }
     if (idleDue) {
-      nextIdlePollMs = nowMs + IDLE_INTERVAL_MS;
+      nextIdlePollMs = nowMs + IDLE_POLL_INTERVAL_MS;
     }
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/StoreProcess.java
@@ -32,10 +32,10 @@
 import java.util.List;
 
 /**
- * A store: keeps one group of batch jobs and runs the group's items while it leads.
+ * A store: keeps a replica of one group of batch jobs and runs the group's items while it leads.
  *
- * <p>The coordinators assign the group to a new store. The group's number is written to disk before
- * any of its data, so that a disk never holds parts of two groups.
+ * <p>The coordinators assign the group to a new store. The store writes the group's number to disk
+ * before any of its data, so that a disk never holds parts of two groups.
  */
 public final class StoreProcess implements FleetMemberProcess {
   private static final EventLog EVENTS = EventLog.of(StoreProcess.class);
@@ -64,19 +64,19 @@
   /** Recovers the data folder and starts. */
   public static Result<StoreProcess, StorageError> start(
       StoreSettings settings, TransportTls tls, FleetAdapter adapter) {
-    Result<DataFolder, StorageError> folder = DataFolder.open(settings.dataFolder());
-    if (!folder.isOk()) {
-      return Result.err(folder.error());
+    Result<DataFolder, StorageError> openResult = DataFolder.open(settings.dataFolder());
+    if (!openResult.isOk()) {
+      return Result.err(openResult.error());
     }
-    StoreProcess process = new StoreProcess(settings, folder.value(), adapter);
+    StoreProcess process = new StoreProcess(settings, openResult.value(), adapter);
     return process.run(tls).map(started -> process);
   }
 
   private Result<Void, StorageError> run(TransportTls tls) {
     if (settings.firstStart() && folder.readFile(FIRST_START_FILE).isEmpty()) {
-      Result<Void, StorageError> written = folder.writeFile(FIRST_START_FILE, "yes");
-      if (!written.isOk()) {
-        return written;
+      Result<Void, StorageError> writeResult = folder.writeFile(FIRST_START_FILE, "yes");
+      if (!writeResult.isOk()) {
+        return writeResult;
       }
     }
     boolean mayFound = folder.readFile(FIRST_START_FILE).isPresent();
@@ -90,9 +90,9 @@
     follower.onChange(this::onChange);
     reporter = new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
     follower.onNewLeader(reporter::onNewLeader);
-    Result<Void, StorageError> recovered = recoverReplica();
-    if (!recovered.isOk()) {
-      return recovered;
+    Result<Void, StorageError> recoverResult = recoverReplica();
+    if (!recoverResult.isOk()) {
+      return recoverResult;
     }
     resources.push(
         new PeerServer(fleet.listen(), eventLoops, tls, fleet.peerCompression(), this::route));
@@ -119,7 +119,7 @@
   private FleetFollower.SelfReport selfReport(boolean mayFound) {
     FleetSettings fleet = settings.fleet();
     String address = fleet.listen().toString();
-    JobsReplica current = replica;
+    JobsReplica currentReplica = replica;
     FleetProcess self =
         new FleetProcess(
             fleet.name(),
@@ -131,22 +131,23 @@
             "",
             true,
             groupNumber());
-    return new FleetFollower.SelfReport(self, mayFound, current == null ? null : current.report());
+    return new FleetFollower.SelfReport(
+        self, mayFound, currentReplica == null ? null : currentReplica.report());
   }
 
   private int groupNumber() {
-    JobsReplica current = replica;
-    return current == null ? FleetProcess.NO_GROUP : current.number();
+    JobsReplica currentReplica = replica;
+    return currentReplica == null ? FleetProcess.NO_GROUP : currentReplica.number();
   }
 
   private ControllerStatus status() {
-    JobsReplica current = replica;
-    return current == null ? new ControllerStatus(List.of()) : current.status();
+    JobsReplica currentReplica = replica;
+    return currentReplica == null ? new ControllerStatus(List.of()) : currentReplica.status();
   }
 
   // ---- the group
 
-  /** Opens the replica of the group that is recorded on this disk, if any. */
+  /** Opens the replica of the group recorded on this disk, if any. */
   private Result<Void, StorageError> recoverReplica() {
     if (!Files.exists(folder.path().resolve(JOBS_GROUP_FILE))) {
       return Result.ok(null);
@@ -159,7 +160,7 @@
   }
 
   private Result<Void, StorageError> openReplica(int number) {
-    long validMs = settings.engineListValidMs();
+    long maxListAgeMs = settings.maxEngineListAgeMs();
     return JobsReplica.open(
             number,
             settings.fleet(),
@@ -168,11 +169,11 @@
             eventLoop,
             adapter.engines(),
             reporter,
-            () -> follower.isConfirmedWithin(validMs))
+            () -> follower.isConfirmedWithin(maxListAgeMs))
         .map(
-            opened -> {
-              replica = resources.push(opened);
-              opened.start();
+            openedReplica -> {
+              replica = resources.push(openedReplica);
+              openedReplica.start();
               return null;
             });
   }
@@ -181,19 +182,20 @@
     if (replica == null && view.assignedGroup() != FleetProcess.NO_GROUP) {
       joinGroup(view.assignedGroup());
     }
-    JobsReplica current = replica;
-    if (current != null) {
-      current.onChange(view);
+    JobsReplica currentReplica = replica;
+    if (currentReplica != null) {
+      currentReplica.onChange(view);
     }
   }
 
   private void joinGroup(int number) {
-    Result<Void, StorageError> joined = folder.writeFile(JOBS_GROUP_FILE, String.valueOf(number));
-    if (joined.isOk()) {
-      joined = openReplica(number);
+    Result<Void, StorageError> joinResult =
+        folder.writeFile(JOBS_GROUP_FILE, String.valueOf(number));
+    if (joinResult.isOk()) {
+      joinResult = openReplica(number);
     }
-    if (!joined.isOk()) {
-      EVENTS.log(EventCode.STORAGE_FAILED, "group", number, "reason", joined.error());
+    if (!joinResult.isOk()) {
+      EVENTS.log(EventCode.STORAGE_FAILED, "group", number, "reason", joinResult.error());
       return;
     }
     EVENTS.log(EventCode.JOBS_GROUP_JOINED, "group", number);
@@ -201,27 +203,27 @@
   }
 
   private void route(Message message, ReplySink reply) {
-    JobsReplica current = replica;
-    if (current != null) {
-      current.handle(message, reply);
+    JobsReplica currentReplica = replica;
+    if (currentReplica != null) {
+      currentReplica.handle(message, reply);
     } else if (message instanceof ProposeRequest || message instanceof QueryRequest) {
       reply.reply(JobsReplica.NOT_A_MEMBER);
     }
   }
 
   @Override
-  public void reload(FleetSettings changed) {
-    contacts.setSeeds(changed.seedAddresses());
-    EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", changed.seedAddresses());
+  public void reload(FleetSettings newSettings) {
+    contacts.setSeeds(newSettings.seedAddresses());
+    EVENTS.log(EventCode.SETTINGS_RELOADED, "seeds", newSettings.seedAddresses());
   }
 
-  /** Stops in an orderly way: another store takes over the group and resumes its items. */
+  /** Transfers leadership, so that another store resumes the items of the group, and stops. */
   @Override
   public void close() {
     EVENTS.log(EventCode.PROCESS_STOPPING, "role", "store", "id", settings.fleet().name());
-    JobsReplica current = replica;
-    if (current != null) {
-      current.transferLeadership();
+    JobsReplica currentReplica = replica;
+    if (currentReplica != null) {
+      currentReplica.transferLeadership();
     }
     resources.closeAll();
     EVENTS.log(EventCode.PROCESS_STOPPED, "role", "store", "id", settings.fleet().name());
--- a/fleet/src/main/java/io/pathdeck/fleet/store/StoreSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/StoreSettings.java
@@ -9,6 +9,8 @@
 /**
  * The settings of a store.
  *
+ * @param fleet settings that all processes of the fleet have
+ * @param dataFolder folder of the replicated data
  * @param firstStart whether this is the first start of the whole system, on empty disks
  * @param engineDrainMs for how long a leaving engine may get new work after the engine list shows
  *     that it leaves
@@ -19,10 +21,10 @@
   private static final int START_MARGIN_MS = 500;
 
   /**
-   * Maximum age of the engine list when an item starts. A coordinator that knows of a leaving
-   * engine may be cut off before it can report it.
+   * Returns the maximum age of the engine list at which items start. An older list may lack a
+   * leaving engine, because the coordinator that knows of it may be cut off.
    */
-  long engineListValidMs() {
+  long maxEngineListAgeMs() {
     return Math.max(0, engineDrainMs - START_MARGIN_MS);
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueuePolicy.java
@@ -11,7 +11,7 @@
 
 class TestQueuePolicy {
   private static final int SLOTS = 8;
-  private static final EngineCapacity FULL = new EngineCapacity(SLOTS, 0, SLOTS + 1, 50);
+  private static final EngineCapacity FULL_ENGINE = new EngineCapacity(SLOTS, 0, SLOTS + 1, 50);
   private static final long DUE_MS = 300;
   private static final long FIRST_BYTE_MS = 60;
   private static final long SLOT_TIME_MS = 200;
@@ -25,7 +25,7 @@
     return times;
   }
 
-  private static Request fresh(long deadlineMs) {
+  private static Request newRequest(long deadlineMs) {
     return new Request(DUE_MS, deadlineMs, Request.NOT_HELD, true);
   }
 
@@ -40,37 +40,40 @@
     EngineCapacity staleReport = new EngineCapacity(SLOTS, 0, SLOTS + 5, 5_000);
     EngineCapacity noReport = new EngineCapacity(SLOTS, 0, SLOTS + 5, -1);
     EngineCapacity unknownSlots = new EngineCapacity(0, 9, 9, 50);
-    assertThat(decide(fresh(5_000), FULL, notFull)).isEqualTo(send);
-    assertThat(decide(fresh(5_000), FULL, staleReport)).isEqualTo(send);
-    assertThat(decide(fresh(5_000), FULL, noReport)).isEqualTo(send);
-    assertThat(decide(fresh(5_000), FULL, unknownSlots)).isEqualTo(send);
-    assertThat(decide(fresh(5_000))).isEqualTo(send);
+    assertThat(decide(newRequest(5_000), FULL_ENGINE, notFull)).isEqualTo(send);
+    assertThat(decide(newRequest(5_000), FULL_ENGINE, staleReport)).isEqualTo(send);
+    assertThat(decide(newRequest(5_000), FULL_ENGINE, noReport)).isEqualTo(send);
+    assertThat(decide(newRequest(5_000), FULL_ENGINE, unknownSlots)).isEqualTo(send);
+    assertThat(decide(newRequest(5_000))).isEqualTo(send);
   }
 
   @Test
   void holdsForHalfOfSpareTime() {
     long halfOfSpareMs = (DUE_MS - FIRST_BYTE_MS) / 2;
-    assertThat(decide(fresh(5_000), FULL, FULL)).isEqualTo(new QueueDecision.Wait(halfOfSpareMs));
-    Request held = new Request(DUE_MS, 5_000, halfOfSpareMs, true);
-    assertThat(QueuePolicy.decide(held, List.of(FULL), times, halfOfSpareMs))
+    assertThat(decide(newRequest(5_000), FULL_ENGINE, FULL_ENGINE))
+        .isEqualTo(new QueueDecision.Hold(halfOfSpareMs));
+    Request heldRequest = new Request(DUE_MS, 5_000, halfOfSpareMs, true);
+    assertThat(QueuePolicy.decide(heldRequest, List.of(FULL_ENGINE), times, halfOfSpareMs))
         .isEqualTo(new QueueDecision.Send());
   }
 
   @Test
   void gatewayLoadAloneShowsFullEngine() {
     EngineCapacity fullByGatewayLoad = new EngineCapacity(SLOTS, SLOTS + 1, SLOTS + 1, -1);
-    assertThat(decide(fresh(5_000), fullByGatewayLoad)).isInstanceOf(QueueDecision.Wait.class);
+    assertThat(decide(newRequest(5_000), fullByGatewayLoad)).isInstanceOf(QueueDecision.Hold.class);
   }
 
   @Test
   void rejectsOnlyIfNoEngineMeetsDeadline() {
-    EngineCapacity crowded = new EngineCapacity(SLOTS, 0, SLOTS * 11 - 1, 50);
+    EngineCapacity overloadedEngine = new EngineCapacity(SLOTS, 0, SLOTS * 11 - 1, 50);
     long waitMs = 10 * SLOT_TIME_MS;
-    assertThat(decide(fresh(waitMs - 1), crowded)).isEqualTo(new QueueDecision.Reject(waitMs));
-    assertThat(decide(fresh(waitMs), crowded)).isInstanceOf(QueueDecision.Wait.class);
-    assertThat(decide(fresh(waitMs - 1), crowded, FULL)).isInstanceOf(QueueDecision.Wait.class);
+    assertThat(decide(newRequest(waitMs - 1), overloadedEngine))
+        .isEqualTo(new QueueDecision.Reject(waitMs));
+    assertThat(decide(newRequest(waitMs), overloadedEngine)).isInstanceOf(QueueDecision.Hold.class);
+    assertThat(decide(newRequest(waitMs - 1), overloadedEngine, FULL_ENGINE))
+        .isInstanceOf(QueueDecision.Hold.class);
     Request mayHaveRun = new Request(DUE_MS, waitMs - 1, Request.NOT_HELD, false);
-    assertThat(decide(mayHaveRun, crowded)).isInstanceOf(QueueDecision.Wait.class);
+    assertThat(decide(mayHaveRun, overloadedEngine)).isInstanceOf(QueueDecision.Hold.class);
   }
 
   /** On one engine, a flood of one tenant arrives before four requests of another. */
@@ -80,16 +83,16 @@
     assertThat(smallTenantRequestsOnTime(true)).isEqualTo(4);
   }
 
-  private int smallTenantRequestsOnTime(boolean queued) {
+  private int smallTenantRequestsOnTime(boolean useRequestQueue) {
     RequestQueue<Integer> queue = new RequestQueue<>(256, Long.MAX_VALUE);
     Deque<Integer> engineQueue = new ArrayDeque<>();
     List<Long> slotsFreeAtMs = new ArrayList<>();
-    int smallOnTime = 0;
+    int smallTenantOnTime = 0;
     for (long nowMs = 0; nowMs < 2_000; nowMs++) {
       long now = nowMs;
       slotsFreeAtMs.removeIf(freeAtMs -> freeAtMs <= now);
       if (nowMs < 30 || (nowMs >= 60 && nowMs < 64)) {
-        arrive((int) nowMs, queued, queue, engineQueue);
+        arrive((int) nowMs, useRequestQueue, queue, engineQueue);
       }
       while (maySend(queue, engineQueue.size() + slotsFreeAtMs.size(), nowMs)) {
         engineQueue.add(queue.poll().orElseThrow().request());
@@ -98,28 +101,28 @@
         int arrivedMs = engineQueue.poll();
         slotsFreeAtMs.add(nowMs + SLOT_TIME_MS);
         boolean onTime = nowMs + FIRST_BYTE_MS <= arrivedMs + DUE_MS;
-        smallOnTime += arrivedMs >= 60 && onTime ? 1 : 0;
+        smallTenantOnTime += arrivedMs >= 60 && onTime ? 1 : 0;
       }
     }
-    return smallOnTime;
+    return smallTenantOnTime;
   }
 
   private void arrive(
-      int nowMs, boolean queued, RequestQueue<Integer> queue, Deque<Integer> engineQueue) {
-    if (!queued) {
+      int nowMs, boolean useRequestQueue, RequestQueue<Integer> queue, Deque<Integer> engineQueue) {
+    if (!useRequestQueue) {
       engineQueue.add(nowMs);
       return;
     }
     String tenant = nowMs < 30 ? "hot" : "small";
     Request request = new Request(nowMs + DUE_MS, nowMs + 5_000, Request.NOT_HELD, true);
-    QueueDecision decision = QueuePolicy.decide(request, List.of(FULL), times, nowMs);
-    long untilMs = ((QueueDecision.Wait) decision).untilMs();
+    QueueDecision decision = QueuePolicy.decide(request, List.of(FULL_ENGINE), times, nowMs);
+    long untilMs = ((QueueDecision.Hold) decision).untilMs();
     Rank rank = new Rank(false, 0, 0);
     queue.add(new WaitingRequest<>(nowMs, tenant, rank, nowMs, nowMs + DUE_MS, untilMs, 1, 1));
   }
 
   private boolean maySend(RequestQueue<Integer> queue, int load, long nowMs) {
-    boolean full = new EngineCapacity(SLOTS, load, load, 0).isKnownFull();
-    return !queue.isEmpty() && (!full || queue.hasExpiredHold(nowMs));
+    boolean isFull = new EngineCapacity(SLOTS, load, load, 0).isKnownFull();
+    return !queue.isEmpty() && (!isFull || queue.hasExpiredHold(nowMs));
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestRequestQueue.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestRequestQueue.java
@@ -21,19 +21,20 @@
     return new Rank(false, tenantPriority, routePriority);
   }
 
-  private static WaitingRequest<String> waiting(String name, String tenant, Rank rank, long dueMs) {
+  private static WaitingRequest<String> waitingRequest(
+      String name, String tenant, Rank rank, long dueMs) {
     return new WaitingRequest<>(name, tenant, rank, 0, dueMs, 1_000, 10, 1);
   }
 
   private void add(String name, String tenant, Rank rank, long dueMs) {
-    assertThat(queue.add(waiting(name, tenant, rank, dueMs))).isEmpty();
+    assertThat(queue.add(waitingRequest(name, tenant, rank, dueMs))).isEmpty();
   }
 
-  private List<String> drain(RequestQueue<String> from) {
+  private List<String> drain(RequestQueue<String> source) {
     List<String> drained = new ArrayList<>();
-    while (!from.isEmpty()) {
-      String first = from.peek().orElseThrow().request();
-      assertThat(from.poll().orElseThrow().request()).isEqualTo(first);
+    while (!source.isEmpty()) {
+      String first = source.peek().orElseThrow().request();
+      assertThat(source.poll().orElseThrow().request()).isEqualTo(first);
       drained.add(first);
     }
     return drained;
@@ -70,17 +71,17 @@
       queue.add(new WaitingRequest<>("large" + i, "l", rank(0, 0), 0, 1, 1_000, 10, 4));
       queue.add(new WaitingRequest<>("little" + i, "s", rank(0, 0), 0, 1, 1_000, 10, 1));
     }
-    long large = drain(queue).subList(0, 20).stream().filter(n -> n.startsWith("la")).count();
+    long large = drain(queue).subList(0, 20).stream().filter(name -> name.startsWith("la")).count();
     assertThat(large).isBetween(3L, 5L);
   }
 
   @Test
-  void lowRankIsSkippedBoundedTimes() {
-    add("low", "t", rank(9, 0), 1);
+  void leastUrgentRankIsSkippedBoundedTimes() {
+    add("least urgent", "t", rank(9, 0), 1);
     for (int i = 0; i < 50; i++) {
-      add("high" + i, "u", rank(0, 0), 1);
+      add("urgent" + i, "u", rank(0, 0), 1);
     }
-    assertThat(drain(queue).indexOf("low")).isEqualTo(RequestQueue.MAX_TIMES_SKIPPED);
+    assertThat(drain(queue).indexOf("least urgent")).isEqualTo(RequestQueue.MAX_TIMES_SKIPPED);
   }
 
   @Test
@@ -89,9 +90,9 @@
     for (int i = 1; i < MAX_REQUESTS; i++) {
       add("flood" + i, "hot", rank(0, 0), 1);
     }
-    List<WaitingRequest<String>> evicted = queue.add(waiting("s2", "small", rank(5, 0), 9));
+    List<WaitingRequest<String>> evicted = queue.add(waitingRequest("s2", "small", rank(5, 0), 9));
     assertThat(evicted).extracting(WaitingRequest::request).containsExactly("flood99");
-    evicted = queue.add(waiting("new", "hot", rank(0, 0), 0));
+    evicted = queue.add(waitingRequest("new", "hot", rank(0, 0), 0));
     assertThat(evicted).extracting(WaitingRequest::request).containsExactly("new");
     assertThat(queue.size()).isEqualTo(MAX_REQUESTS);
   }
@@ -101,7 +102,7 @@
     WaitingRequest<String> large =
         new WaitingRequest<>("large", "t", rank(0, 0), 0, 1, 1_000, MAX_BYTES + 1, 9);
     assertThat(queue.add(large)).isEmpty();
-    assertThat(queue.add(waiting("next", "u", rank(0, 0), 1)))
+    assertThat(queue.add(waitingRequest("next", "u", rank(0, 0), 1)))
         .extracting(WaitingRequest::request)
         .containsExactly("large");
     assertThat(drain(queue)).containsExactly("next");
@@ -116,28 +117,31 @@
     assertThat(queue.hasExpiredHold(5_000)).isFalse();
   }
 
-  /** Each step adds a request, whose number determines tenant and rank, or takes or removes one. */
+  /**
+   * Steps from 0 add a request, with tenant and rank derived from the step; even negative steps
+   * poll a request, odd ones remove one.
+   */
   @Property
   void losesAndDuplicatesNoRequest(@ForAll List<@IntRange(min = -40, max = 200) Integer> steps) {
-    RequestQueue<String> bounded = new RequestQueue<>(8, 60);
-    Set<String> inside = new HashSet<>();
+    RequestQueue<String> smallQueue = new RequestQueue<>(8, 60);
+    Set<String> expected = new HashSet<>();
     int number = 0;
     for (int step : steps) {
       if (step >= 0) {
         String name = "r" + number++;
         Rank rank = new Rank(step % 7 == 0, step % 2, step % 3);
-        inside.add(name);
-        bounded
+        expected.add(name);
+        smallQueue
             .add(new WaitingRequest<>(name, "t" + step % 4, rank, 0, step, step, step, 1 + step))
-            .forEach(evicted -> assertThat(inside.remove(evicted.request())).isTrue());
+            .forEach(evicted -> assertThat(expected.remove(evicted.request())).isTrue());
       } else if (step % 2 == 0) {
-        bounded.poll().ifPresent(taken -> assertThat(inside.remove(taken.request())).isTrue());
+        smallQueue.poll().ifPresent(taken -> assertThat(expected.remove(taken.request())).isTrue());
       } else {
         String name = "r" + Math.max(0, number + step / 4);
-        assertThat(bounded.remove(name)).isEqualTo(inside.remove(name));
+        assertThat(smallQueue.remove(name)).isEqualTo(expected.remove(name));
       }
-      assertThat(bounded.size()).isEqualTo(inside.size()).isLessThanOrEqualTo(8);
+      assertThat(smallQueue.size()).isEqualTo(expected.size()).isLessThanOrEqualTo(8);
     }
-    assertThat(drain(bounded)).containsExactlyInAnyOrderElementsOf(inside);
+    assertThat(drain(smallQueue)).containsExactlyInAnyOrderElementsOf(expected);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestRetryAfterSchedule.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestRetryAfterSchedule.java
@@ -13,31 +13,32 @@
 
   @Test
   void assignsDistinctTimes() {
-    RetryAfterSchedule times = new RetryAfterSchedule();
-    Set<Long> returns = new HashSet<>();
+    RetryAfterSchedule schedule = new RetryAfterSchedule();
+    Set<Long> delaysMs = new HashSet<>();
     for (int i = 0; i < 40; i++) {
-      returns.add(times.retryAfterMs(400, 5_000, 0));
+      delaysMs.add(schedule.retryAfterMs(400, 5_000, 0));
     }
-    assertThat(returns).hasSize(40).allMatch(afterMs -> afterMs >= 400 && afterMs <= 600);
+    assertThat(delaysMs).hasSize(40).allMatch(afterMs -> afterMs >= 400 && afterMs <= 600);
   }
 
   @Test
-  void spreadsCallersWithoutFreeSlots() {
-    RetryAfterSchedule times = new RetryAfterSchedule();
-    Set<Long> returns = new HashSet<>();
+  void spreadsCallersWhenAllTimesAreReserved() {
+    RetryAfterSchedule schedule = new RetryAfterSchedule();
+    Set<Long> delaysMs = new HashSet<>();
     for (int i = 0; i < 500; i++) {
-      returns.add(times.retryAfterMs(100, 900, 0));
+      delaysMs.add(schedule.retryAfterMs(100, 900, 0));
     }
-    assertThat(returns).hasSizeGreaterThan(100);
+    assertThat(delaysMs).hasSizeGreaterThan(100);
   }
 
   @Property
   void retryAfterIsWithinThirdOfRemainingTime(
       @ForAll @LongRange(min = 0, max = 100_000) long expectedWaitMs,
       @ForAll @LongRange(min = 60, max = 10_000) long timeLeftMs) {
-    RetryAfterSchedule times = new RetryAfterSchedule();
+    RetryAfterSchedule schedule = new RetryAfterSchedule();
     for (int i = 0; i < 20; i++) {
-      assertThat(times.retryAfterMs(expectedWaitMs, timeLeftMs, i)).isBetween(1L, timeLeftMs / 3);
+      assertThat(schedule.retryAfterMs(expectedWaitMs, timeLeftMs, i))
+          .isBetween(1L, timeLeftMs / 3);
     }
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/queue/TestQueueActivation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/queue/TestTenantPolicies.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class TestQueueActivation {
+class TestTenantPolicies {
   private static boolean hasTenantPolicies(CallerTenant... tenants) {
     CallerLimits limits = new CallerLimits(0, 0, 0);
     byte[] none = new byte[0];
-    return QueueActivation.hasTenantPolicies(
+    return TenantPolicies.existIn(
         new RouteTable(1, List.of(), List.of(), limits, List.of(tenants), none, none));
   }
 
--- a/fleet/src/test/java/io/pathdeck/fleet/store/MixedLoadSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/MixedLoadSimulation.java
@@ -20,9 +20,9 @@
 
 /**
  * Simulates batch items that share engines with online requests at a varying rate; times in
- * milliseconds. Gateways choose engines by what they see of their own calls; one store runs all
- * items and polls engines for their load. All of these processes may crash once and lose their
- * state, while engines continue the calls that they run.
+ * milliseconds. Gateways estimate the load of engines from their own calls; one store runs all
+ * items and polls engines for their load. The gateways and the store may crash once and lose their
+ * state, while engines continue to run calls.
  */
 final class MixedLoadSimulation {
   static final double NO_CRASH = 0;
@@ -30,19 +30,19 @@
   private static final int GATEWAYS = 6;
   private static final int ENGINES = 8;
   private static final int SLOTS = 8;
-  private static final long DURATION_MS = 54_000;
-  private static final long PEAK_INTERVAL_MS = 6_000;
-  private static final long OFF_PEAK_MS = 3_600;
+  private static final long ARRIVALS_DURATION_MS = 54_000;
+  private static final long PEAK_PERIOD_MS = 6_000;
+  private static final long OFF_PEAK_DURATION_MS = 3_600;
   private static final double OFF_PEAK_REQUESTS_PER_MS = 0.0147;
   private static final double PEAK_REQUESTS_PER_MS = 0.072;
   private static final double EVENT_MS = 23.5;
   private static final double PREFILL_MS = 12;
-  private static final int STREAM_EVENTS = 31;
+  private static final int RESPONSE_EVENTS = 31;
   private static final long LATENCY_TARGET_MS = 300;
   private static final double JOBS_PER_MS = 0.00048;
   private static final int JOB_ITEMS = 10;
   private static final int ITEM_EVENTS = 216;
-  private static final long ITEM_DUE_MS = 18_000;
+  private static final long ITEM_RUN_TARGET_MS = 18_000;
   private static final long STEP_MS = 20;
   private static final long YIELD_RETRY_DELAY_MS = 400;
   private static final double NETWORK_DELAY_MS = 2;
@@ -50,7 +50,7 @@
   private static final long GATEWAY_HALF_LIFE_MS = 250;
   private static final long STORE_HALF_LIFE_MS = 500;
 
-  /** Lost in a crash: events of running items are recorded every 700 ms. */
+  /** Number of events that a running item loses in a crash; about one recording interval. */
   private static final int UNRECORDED_EVENTS = 30;
 
   /** How long engines continue the calls of crashed processes. */
@@ -101,20 +101,20 @@
   }
 
   private static final class Engine {
-    final Deque<Call> waiting = new ArrayDeque<>();
-    final List<Call> running = new ArrayList<>();
+    final Deque<Call> waitingCalls = new ArrayDeque<>();
+    final List<Call> runningCalls = new ArrayList<>();
 
     void take(Call call) {
-      if (running.size() < SLOTS) {
+      if (runningCalls.size() < SLOTS) {
         start(call);
       } else {
-        waiting.add(call);
+        waitingCalls.add(call);
       }
     }
 
     private void start(Call call) {
       call.running = true;
-      running.add(call);
+      runningCalls.add(call);
       call.onStart.run();
     }
 
@@ -123,10 +123,10 @@
         return;
       }
       call.over = true;
-      waiting.remove(call);
-      running.remove(call);
-      if (!waiting.isEmpty() && running.size() < SLOTS) {
-        start(waiting.remove());
+      waitingCalls.remove(call);
+      runningCalls.remove(call);
+      if (!waitingCalls.isEmpty() && runningCalls.size() < SLOTS) {
+        start(waitingCalls.remove());
       }
     }
   }
@@ -135,7 +135,7 @@
     final double dueMs;
     final int events;
     int eventsDone;
-    EngineState state;
+    EngineState engineState;
     Call call;
     double startedMs;
     double notBeforeMs;
@@ -151,11 +151,11 @@
   private final BatchSlotPolicy slotPolicy = new BatchSlotPolicy();
   private final double crashAtMs;
   private final double outageMs;
-  private final PriorityQueue<ScheduledAction> eventQueue =
+  private final PriorityQueue<ScheduledAction> scheduledActions =
       new PriorityQueue<>(
           Comparator.comparingDouble(ScheduledAction::atMs).thenComparing(ScheduledAction::order));
   private final Map<String, Engine> engines = new HashMap<>();
-  private final Map<String, EngineInstance> engineList = new HashMap<>();
+  private final Map<String, EngineInstance> instancesById = new HashMap<>();
   private final List<EngineTable> gatewayTables = new ArrayList<>();
   private final List<EngineLoadBalancer> gatewayBalancers = new ArrayList<>();
   private EngineTable storeTable = new EngineTable(STORE_HALF_LIFE_MS);
@@ -163,24 +163,27 @@
   private final List<Item> items = new ArrayList<>();
   private double nowMs;
   private double leaderSinceMs;
-  private int generation;
+
+  /** Changes at each crash and restart; distinguishes callbacks of earlier processes. */
+  private int processGeneration;
+
   private double nextBusyPollMs;
   private double nextIdlePollMs;
-  private long nextOrder;
+  private long nextActionOrder;
   private int requests;
   private int lateRequests;
   private int peakRequests;
   private int latePeakRequests;
   private int lateItems;
 
-  MixedLoadSimulation(long seed, double lossAtMs, double lossForMs) {
+  MixedLoadSimulation(long seed, double crashAtMs, double outageMs) {
     this.random = new SplittableRandom(seed);
-    this.crashAtMs = lossAtMs;
-    this.outageMs = lossForMs;
+    this.crashAtMs = crashAtMs;
+    this.outageMs = outageMs;
     for (int i = 0; i < ENGINES; i++) {
       String id = "e" + i;
       engines.put(id, new Engine());
-      engineList.put(id, new EngineInstance(id, "s", "h:1", ZONES.get(i % 3), SLOTS, false));
+      instancesById.put(id, new EngineInstance(id, "s", "h:1", ZONES.get(i % 3), SLOTS, false));
     }
     for (int i = 0; i < GATEWAYS; i++) {
       gatewayTables.add(new EngineTable(GATEWAY_HALF_LIFE_MS));
@@ -191,14 +194,14 @@
   }
 
   private void resetProcesses() {
-    generation++;
+    processGeneration++;
     leaderSinceMs = nowMs;
     for (int i = 0; i < GATEWAYS; i++) {
       gatewayTables.set(i, new EngineTable(GATEWAY_HALF_LIFE_MS));
-      gatewayTables.get(i).update(engineList);
+      gatewayTables.get(i).update(instancesById);
     }
     storeTable = new EngineTable(STORE_HALF_LIFE_MS);
-    storeTable.update(engineList);
+    storeTable.update(instancesById);
   }
 
   Result run() {
@@ -209,8 +212,8 @@
       after(crashAtMs, this::crashAll);
       after(crashAtMs + outageMs, this::resetProcesses);
     }
-    while (!eventQueue.isEmpty()) {
-      ScheduledAction next = eventQueue.remove();
+    while (!scheduledActions.isEmpty()) {
+      ScheduledAction next = scheduledActions.remove();
       nowMs = next.atMs();
       next.action().run();
     }
@@ -219,7 +222,7 @@
   }
 
   private void after(double delayMs, Runnable action) {
-    eventQueue.add(new ScheduledAction(nowMs + delayMs, nextOrder++, action));
+    scheduledActions.add(new ScheduledAction(nowMs + delayMs, nextActionOrder++, action));
   }
 
   private long clockMs() {
@@ -231,10 +234,10 @@
   }
 
   private void crashAll() {
-    generation++;
+    processGeneration++;
     for (Item item : items) {
       if (item.call != null) {
-        Engine engine = engines.get(item.state.instance().id());
+        Engine engine = engines.get(item.engineState.instance().id());
         Call orphan = item.call;
         item.eventsDone = Math.max(item.eventsDone, eventsNow(item) - UNRECORDED_EVENTS);
         item.call = null;
@@ -246,39 +249,39 @@
   // ---- online requests
 
   private boolean inPeak() {
-    return nowMs % PEAK_INTERVAL_MS >= OFF_PEAK_MS;
+    return nowMs % PEAK_PERIOD_MS >= OFF_PEAK_DURATION_MS;
   }
 
   private void generateRequest() {
-    if (nowMs > DURATION_MS) {
+    if (nowMs > ARRIVALS_DURATION_MS) {
       return;
     }
     double requestsPerMs = inPeak() ? PEAK_REQUESTS_PER_MS : OFF_PEAK_REQUESTS_PER_MS;
     after(-Math.log(1 - random.nextDouble()) / requestsPerMs, this::generateRequest);
-    boolean peak = inPeak();
+    boolean isPeak = inPeak();
     if (isDown()) {
       // Callers retry when the processes are up again.
       after(crashAtMs + outageMs - nowMs + 500 * random.nextDouble(), () -> sendRequest(false));
     } else {
-      sendRequest(peak);
+      sendRequest(isPeak);
     }
   }
 
-  private void sendRequest(boolean peak) {
+  private void sendRequest(boolean isPeak) {
     int gateway = random.nextInt(GATEWAYS);
-    List<EngineState> usable = gatewayTables.get(gateway).usable("s", Set.of(), clockMs());
+    List<EngineState> usableEngines = gatewayTables.get(gateway).usable("s", Set.of(), clockMs());
     Placement placement =
-        gatewayBalancers.get(gateway).choose(usable, PROMPT, clockMs()).orElseThrow();
+        gatewayBalancers.get(gateway).choose(usableEngines, PROMPT, clockMs()).orElseThrow();
     EngineState state = placement.engine();
     Engine engine = engines.get(state.instance().id());
     double sentMs = nowMs;
     requests++;
-    peakRequests += peak ? 1 : 0;
+    peakRequests += isPeak ? 1 : 0;
     state.onStart(clockMs());
     state.onPromptSent(placement.prefillTokens());
-    int expectedGeneration = generation;
+    int expectedGeneration = processGeneration;
     Call[] call = new Call[1];
-    double events = STREAM_EVENTS * (0.75 + 0.5 * random.nextDouble());
+    double events = RESPONSE_EVENTS * (0.75 + 0.5 * random.nextDouble());
     call[0] =
         new Call(
             () -> {
@@ -289,9 +292,10 @@
                     state.onFirstBytes((long) (nowMs - sentMs), clockMs());
                     state.onLoadReport(load(engine), clockMs());
                     boolean isLate =
-                        nowMs - sentMs > LATENCY_TARGET_MS || expectedGeneration != generation;
+                        nowMs - sentMs > LATENCY_TARGET_MS
+                            || expectedGeneration != processGeneration;
                     lateRequests += isLate ? 1 : 0;
-                    latePeakRequests += isLate && peak ? 1 : 0;
+                    latePeakRequests += isLate && isPeak ? 1 : 0;
                   });
               after(
                   PREFILL_MS + EVENT_MS * events,
@@ -304,26 +308,26 @@
   }
 
   private EngineLoadReport load(Engine engine) {
-    return new EngineLoadReport(engine.running.size(), engine.waiting.size(), SLOTS);
+    return new EngineLoadReport(engine.runningCalls.size(), engine.waitingCalls.size(), SLOTS);
   }
 
   // ---- batch items
 
   private void generateJob() {
-    if (nowMs > DURATION_MS) {
+    if (nowMs > ARRIVALS_DURATION_MS) {
       return;
     }
     after(-Math.log(1 - random.nextDouble()) / JOBS_PER_MS, this::generateJob);
     int count = (int) Math.round(JOB_ITEMS * (0.6 + 0.8 * random.nextDouble()));
     for (int i = 0; i < count; i++) {
       int events = (int) (ITEM_EVENTS * (0.75 + 0.5 * random.nextDouble()));
-      items.add(new Item(nowMs + ITEM_DUE_MS, events));
+      items.add(new Item(nowMs + ITEM_RUN_TARGET_MS, events));
     }
   }
 
   private void step() {
-    boolean unfinished = items.stream().anyMatch(item -> !item.complete);
-    if (nowMs > DURATION_MS && !unfinished) {
+    boolean hasUnfinishedItems = items.stream().anyMatch(item -> !item.complete);
+    if (nowMs > ARRIVALS_DURATION_MS && !hasUnfinishedItems) {
       return;
     }
     after(STEP_MS, this::step);
@@ -341,21 +345,21 @@
     for (EngineState state : storeTable.all()) {
       if (state.inFlight() > 0 ? busyDue : idleDue) {
         EngineLoadReport report = load(engines.get(state.instance().id()));
-        int expectedGeneration = generation;
+        int expectedGeneration = processGeneration;
         after(REPORT_DELAY_MS, () -> onReport(state, report, expectedGeneration));
       }
     }
     if (busyDue) {
-      nextBusyPollMs = nowMs + LoadPolls.BUSY_INTERVAL_MS;
+      nextBusyPollMs = nowMs + LoadPolls.BUSY_POLL_INTERVAL_MS;
     }
     if (idleDue) {
-      nextIdlePollMs = nowMs + LoadPolls.IDLE_INTERVAL_MS;
+      nextIdlePollMs = nowMs + LoadPolls.IDLE_POLL_INTERVAL_MS;
     }
   }
 
   private long slackMs(Item item) {
-    int done = item.call == null ? item.eventsDone : eventsNow(item);
-    return (long) (item.dueMs - nowMs - (item.events - done) * EVENT_MS);
+    int doneEvents = item.call == null ? item.eventsDone : eventsNow(item);
+    return (long) (item.dueMs - nowMs - (item.events - doneEvents) * EVENT_MS);
   }
 
   private ItemUrgency urgency(Item item) {
@@ -367,14 +371,14 @@
   }
 
   private void onReport(EngineState state, EngineLoadReport report, int expectedGeneration) {
-    if (expectedGeneration != generation) {
+    if (expectedGeneration != processGeneration) {
       return;
     }
     state.onLoadReport(report, clockMs());
     items.stream()
-        .filter(item -> item.call != null && item.state == state)
+        .filter(item -> item.call != null && item.engineState == state)
         .sorted(startOrder().reversed())
-        .limit(slotPolicy.itemsToYield(state, report, false))
+        .limit(slotPolicy.yieldCount(state, report, false))
         .toList()
         .forEach(this::stop);
   }
@@ -389,10 +393,10 @@
 
   private void stop(Item item) {
     item.eventsDone = eventsNow(item);
-    Engine engine = engines.get(item.state.instance().id());
+    Engine engine = engines.get(item.engineState.instance().id());
     Call call = item.call;
     after(NETWORK_DELAY_MS, () -> engine.end(call));
-    item.state.onEnd();
+    item.engineState.onEnd();
     item.call = null;
     item.notBeforeMs = nowMs + YIELD_RETRY_DELAY_MS;
   }
@@ -400,12 +404,12 @@
   private void startItems() {
     long leadingForMs = (long) (nowMs - leaderSinceMs);
     double share = slotPolicy.rampUpShare(leadingForMs);
-    List<Item> waiting =
+    List<Item> waitingItems =
         items.stream()
             .filter(item -> !item.complete && item.call == null && nowMs >= item.notBeforeMs)
             .sorted(startOrder())
             .toList();
-    for (Item item : waiting) {
+    for (Item item : waitingItems) {
       List<EngineState> available =
           storeTable.usable("s", Set.of(), clockMs()).stream()
               .filter(state -> slotPolicy.isLoadKnown(state, leadingForMs, clockMs()))
@@ -421,9 +425,9 @@
 
   private void start(Item item, EngineState state) {
     Engine engine = engines.get(state.instance().id());
-    item.state = state;
+    item.engineState = state;
     state.onStart(clockMs());
-    int expectedGeneration = generation;
+    int expectedGeneration = processGeneration;
     Call[] call = new Call[1];
     call[0] =
         new Call(
@@ -447,10 +451,10 @@
       return;
     }
     engine.end(call);
-    if (item.call != call || expectedGeneration != generation) {
+    if (item.call != call || expectedGeneration != processGeneration) {
       return;
     }
-    item.state.onEnd();
+    item.engineState.onEnd();
     item.call = null;
     item.complete = true;
     lateItems += nowMs > item.dueMs ? 1 : 0;
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestBatchSlotPolicy.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestBatchSlotPolicy.java
@@ -54,29 +54,29 @@
     assertThat(startableItems()).isZero();
   }
 
-  private int itemsToYield(int running, int waiting, boolean slow) {
-    return policy.itemsToYield(engine, new EngineLoadReport(running, waiting, 12), slow);
+  private int yieldCount(int running, int waiting, boolean slow) {
+    return policy.yieldCount(engine, new EngineLoadReport(running, waiting, 12), slow);
   }
 
   @Test
   void itemsYieldToRequestsWithoutSlot() {
-    assertThat(itemsToYield(12, 0, false)).isZero();
-    assertThat(itemsToYield(12, 1, false)).isEqualTo(1);
-    assertThat(itemsToYield(12, 2, false)).isEqualTo(2);
-    assertThat(itemsToYield(12, 50, false)).isEqualTo(50);
+    assertThat(yieldCount(12, 0, false)).isZero();
+    assertThat(yieldCount(12, 1, false)).isEqualTo(1);
+    assertThat(yieldCount(12, 2, false)).isEqualTo(2);
+    assertThat(yieldCount(12, 50, false)).isEqualTo(50);
   }
 
-  /** A request counts as waiting until its prefill is done, even if it has a slot. */
+  /** Engines count a request as waiting until its prefill is done, even if it has a slot. */
   @Test
   void noItemYieldsWhileSlotsAreFree() {
-    assertThat(itemsToYield(8, 4, false)).isZero();
-    assertThat(itemsToYield(10, 4, false)).isEqualTo(2);
+    assertThat(yieldCount(8, 4, false)).isZero();
+    assertThat(yieldCount(10, 4, false)).isEqualTo(2);
   }
 
   @Test
   void itemsYieldLaterOnSlowEngines() {
-    assertThat(itemsToYield(12, 1, true)).isZero();
-    assertThat(itemsToYield(12, 2, true)).isEqualTo(2);
+    assertThat(yieldCount(12, 1, true)).isZero();
+    assertThat(yieldCount(12, 2, true)).isEqualTo(2);
   }
 
   /** Guards against late items that take most slots after a power failure. */
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemPlacement.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemPlacement.java
@@ -12,24 +12,24 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Items that run 3.4 s on an engine of median pace and 9 s on a slow one. */
+/** Places items that run 3.4 s on an engine of median pace and 9 s on a slow one. */
 class TestItemPlacement {
   private static final long NOW_MS = 1_000;
   private static final long TYPICAL_RUN_MS = 3_400;
   private static final int STREAMS = 8;
 
   private final EngineTable table = new EngineTable(500);
-  private final EngineState typical;
-  private final EngineState slow;
+  private final EngineState typicalEngine;
+  private final EngineState slowEngine;
 
   TestItemPlacement() {
-    Map<String, EngineInstance> listed = new HashMap<>();
+    Map<String, EngineInstance> instancesById = new HashMap<>();
     for (String id : List.of("u1", "u2", "slow")) {
-      listed.put(id, new EngineInstance(id, "s", "h:1", "z", 8, false));
+      instancesById.put(id, new EngineInstance(id, "s", "h:1", "z", 8, false));
     }
-    table.update(listed);
-    typical = table.find("u1");
-    slow = table.find("slow");
+    table.update(instancesById);
+    typicalEngine = table.find("u1");
+    slowEngine = table.find("slow");
     recordStreams("u1", 25);
     recordStreams("u2", 25);
     recordStreams("slow", 66);
@@ -59,34 +59,36 @@
   @Test
   void deferrableItemPrefersSlowEngine() {
     reportPace();
-    assertThat(candidates(List.of(typical, slow), 18_000)).containsExactly(slow);
-    assertThat(candidates(List.of(typical), 18_000)).containsExactly(typical);
+    assertThat(candidates(List.of(typicalEngine, slowEngine), 18_000)).containsExactly(slowEngine);
+    assertThat(candidates(List.of(typicalEngine), 18_000)).containsExactly(typicalEngine);
   }
 
   @Test
   void itemAvoidsTooSlowEngine() {
     reportPace();
-    assertThat(candidates(List.of(typical, slow), 8_500)).containsExactly(typical);
-    assertThat(candidates(List.of(slow), 8_500)).isEmpty();
+    assertThat(candidates(List.of(typicalEngine, slowEngine), 8_500))
+        .containsExactly(typicalEngine);
+    assertThat(candidates(List.of(slowEngine), 8_500)).isEmpty();
   }
 
   @Test
   void urgentItemAvoidsSlowEngine() {
     reportPace();
-    assertThat(candidates(List.of(typical, slow), 6_000)).containsExactly(typical);
-    assertThat(candidates(List.of(slow), 6_000)).isEmpty();
+    assertThat(candidates(List.of(typicalEngine, slowEngine), 6_000))
+        .containsExactly(typicalEngine);
+    assertThat(candidates(List.of(slowEngine), 6_000)).isEmpty();
   }
 
   @Test
   void lateItemPrefersSlowEngine() {
     reportPace();
-    assertThat(candidates(List.of(typical, slow), 1_000)).containsExactly(slow);
-    assertThat(candidates(List.of(typical), 1_000)).containsExactly(typical);
+    assertThat(candidates(List.of(typicalEngine, slowEngine), 1_000)).containsExactly(slowEngine);
+    assertThat(candidates(List.of(typicalEngine), 1_000)).containsExactly(typicalEngine);
   }
 
   @Test
   void unreportedPaceMakesEnginesEqual() {
-    List<EngineState> available = List.of(typical, slow);
+    List<EngineState> available = List.of(typicalEngine, slowEngine);
     for (long dueInMs : new long[] {18_000, 8_500, 6_000, 1_000}) {
       assertThat(candidates(available, dueInMs)).isEqualTo(available);
     }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemRun.java
@@ -73,9 +73,11 @@
   void ageIsLowerBound() {
     BatchJob job = machine.job("j").orElseThrow();
     long logTimeMs = job.submittedAtMs() + 4_000;
-    ItemRun inherited = new ItemRun(job, item, 10_000, logTimeMs);
-    assertThat(inherited.minAgeMs(10_000)).as("log time ran at twice real time").isEqualTo(2_000);
-    assertThat(inherited.minAgeMs(11_500)).as("then real time counts").isEqualTo(3_500);
+    ItemRun inheritedRun = new ItemRun(job, item, 10_000, logTimeMs);
+    assertThat(inheritedRun.minAgeMs(10_000))
+        .as("log time ran at twice real time")
+        .isEqualTo(2_000);
+    assertThat(inheritedRun.minAgeMs(11_500)).as("then real time counts").isEqualTo(3_500);
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemScheduler.java
@@ -24,18 +24,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Urgent, deferrable and late items on one engine with eight slots. */
+/** Schedules urgent, deferrable and late items on one engine with eight slots. */
 class TestItemScheduler {
-  private static final long DUE_MS = 18_000;
-  private static final long URGENT_DUE_MS = 6_000;
-  private static final long LATE_DUE_MS = 1_000;
+  private static final long RUN_TARGET_MS = 18_000;
+  private static final long URGENT_RUN_TARGET_MS = 6_000;
+  private static final long LATE_RUN_TARGET_MS = 1_000;
   private static final long NOW_MS = 60_000;
 
   private final BatchStateMachine machine = new BatchStateMachine();
   private final EngineTable engines = new EngineTable(500);
   private final FleetView view = view();
   private final List<ItemRun> runs = new ArrayList<>();
-  private final List<String> started = new ArrayList<>();
+  private final List<String> startedItems = new ArrayList<>();
   private final ItemScheduler scheduler;
   private long logIndex;
 
@@ -43,9 +43,9 @@
     engines.update(view.engines());
     EngineLoadBalancer loadBalancer = new EngineLoadBalancer("z", 1);
     scheduler = new ItemScheduler(engines, loadBalancer, new ItemSlack(machine::timeMs));
-    addItem("deferrable", DUE_MS);
-    addItem("late", LATE_DUE_MS);
-    addItem("urgent", URGENT_DUE_MS);
+    addItem("deferrable", RUN_TARGET_MS);
+    addItem("late", LATE_RUN_TARGET_MS);
+    addItem("urgent", URGENT_RUN_TARGET_MS);
   }
 
   private static FleetView view() {
@@ -63,7 +63,7 @@
             false,
             false,
             0,
-            DUE_MS,
+            RUN_TARGET_MS,
             60_000,
             0,
             true);
@@ -81,10 +81,10 @@
         QuarantineList.NONE);
   }
 
-  private void addItem(String id, long dueAfterMs) {
+  private void addItem(String id, long runTargetMs) {
     BatchItem item = new BatchItem(id, "/p", Map.of(), new byte[0], 100, 1_000);
     SubmitBatch job =
-        new SubmitBatch("job-" + id, "", "r", "h", List.of(item), 3, dueAfterMs, 60_000, 0);
+        new SubmitBatch("job-" + id, "", "r", "h", List.of(item), 3, runTargetMs, 60_000, 0);
     machine.apply(new CommandEnvelope("", 0, ++logIndex, job));
     runs.add(new ItemRun(machine.job("job-" + id).orElseThrow(), item, 0, machine.timeMs()));
   }
@@ -106,30 +106,30 @@
   }
 
   private void start(ItemRun run, EngineState engine, double relativePace) {
-    started.add(run.item.id());
+    startedItems.add(run.item.id());
     engine.onStart(NOW_MS);
     run.onStart(new ItemStream(-1, outcome -> {}), engine, relativePace, NOW_MS);
   }
 
   @Test
-  void urgentFirstLateLast() {
+  void startsUrgentItemsFirstAndLateItemsLast() {
     report(0, 0);
     startItems();
-    assertThat(started).containsExactly("urgent", "deferrable", "late");
+    assertThat(startedItems).containsExactly("urgent", "deferrable", "late");
   }
 
   @Test
   void lastSlotStaysFree() {
     report(5, 0);
     startItems();
-    assertThat(started).containsExactly("urgent", "deferrable");
+    assertThat(startedItems).containsExactly("urgent", "deferrable");
   }
 
   @Test
   void waitsForFirstLoadReport() {
     scheduler.setLeaderSince(NOW_MS - 100);
     startItems();
-    assertThat(started).isEmpty();
+    assertThat(startedItems).isEmpty();
   }
 
   @Test
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestItemSlack.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestItemSlack.java
@@ -15,12 +15,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** An item of 1,000 tokens that is due 18 s after submission and runs 3.4 s at median pace. */
+/**
+ * Computes the slack of an item that is due 18 s after submission and runs 3.4 s at median pace.
+ */
 class TestItemSlack {
-  private static final long TARGET_MS = 18_000;
+  private static final long RUN_TARGET_MS = 18_000;
   private static final long OUTPUT_TOKENS = 1_000;
   private static final int COMPLETED_ITEMS = 400;
-  private static final double SLOW_PACE = 2.7;
+  private static final double SLOW_RELATIVE_PACE = 2.7;
 
   private final BatchStateMachine machine = new BatchStateMachine();
   private final BatchItem item = new BatchItem("i", "/p", Map.of(), new byte[0], 100, 1_000);
@@ -28,13 +30,14 @@
   private final ItemSlack slack = new ItemSlack(() -> logTimeMs);
 
   TestItemSlack() {
-    SubmitBatch job = new SubmitBatch("j", "", "r", "h", List.of(item), 3, TARGET_MS, 60_000, 0);
+    SubmitBatch job =
+        new SubmitBatch("j", "", "r", "h", List.of(item), 3, RUN_TARGET_MS, 60_000, 0);
     machine.apply(new CommandEnvelope("", 0, 1, job));
     logTimeMs = run().job.submittedAtMs();
     for (int i = 0; i < COMPLETED_ITEMS; i++) {
-      ItemRun completed = run();
-      completed.onStart(new ItemStream(-1, outcome -> {}), engine(), SLOW_PACE, 0);
-      slack.onItemCompleted(completed, Math.round(3_400 * SLOW_PACE));
+      ItemRun completedRun = run();
+      completedRun.onStart(new ItemStream(-1, outcome -> {}), engine(), SLOW_RELATIVE_PACE, 0);
+      slack.onItemCompleted(completedRun, Math.round(3_400 * SLOW_RELATIVE_PACE));
     }
   }
 
@@ -52,16 +55,16 @@
   void runTimesAreNormalizedByPace() {
     assertThat(item.outputTokens()).isEqualTo(OUTPUT_TOKENS);
     assertThat(slack.slackMs(run(), 0)).isBetween(14_590L, 14_610L);
-    assertThat(slack.slackMs(run(), SLOW_PACE, 0)).isBetween(8_810L, 8_830L);
+    assertThat(slack.slackMs(run(), SLOW_RELATIVE_PACE, 0)).isBetween(8_810L, 8_830L);
   }
 
   @Test
   void lateItemCanBeOnTimeElsewhere() {
     ItemRun run = run();
     run.onStart(new ItemStream(-1, outcome -> {}), engine(), 1, 0);
-    logTimeMs += TARGET_MS - 6_000;
+    logTimeMs += RUN_TARGET_MS - 6_000;
     assertThat(slack.canBeOnTimeElsewhere(run, 0)).as("pace not known").isFalse();
-    run.setRelativePace(SLOW_PACE);
+    run.setRelativePace(SLOW_RELATIVE_PACE);
     assertThat(slack.canBeOnTimeElsewhere(run, 0)).isTrue();
     logTimeMs += 2_500;
     assertThat(slack.canBeOnTimeElsewhere(run, 0)).as("too late for a move").isFalse();
@@ -71,7 +74,7 @@
   void inheritedEventsReduceUrgency() {
     BatchProgress progress = new BatchProgress("j", "i", -1, 99, "recorded");
     machine.apply(new CommandEnvelope("", 0, 2, new RecordBatchProgress(List.of(progress))));
-    logTimeMs += TARGET_MS - 5_000;
+    logTimeMs += RUN_TARGET_MS - 5_000;
     for (int i = 0; i < 30; i++) {
       recordEventTime();
     }
@@ -81,11 +84,11 @@
 
   /** Records 25 events in 700 ms. */
   private void recordEventTime() {
-    ItemRun other = run();
-    other.onStart(new ItemStream(99, outcome -> {}), engine(), 1, 0);
-    other.appendEvents(new ItemEvents(99, 100, "first"));
-    slack.onEvents(other, 100);
-    other.appendEvents(new ItemEvents(100, 125, "more"));
-    slack.onEvents(other, 800);
+    ItemRun otherRun = run();
+    otherRun.onStart(new ItemStream(99, outcome -> {}), engine(), 1, 0);
+    otherRun.appendEvents(new ItemEvents(99, 100, "first"));
+    slack.onEvents(otherRun, 100);
+    otherRun.appendEvents(new ItemEvents(100, 125, "more"));
+    slack.onEvents(otherRun, 800);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestJobSubmissions.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestJobSubmissions.java
@@ -108,16 +108,18 @@
 
   @Test
   void appendsConcurrentCopiesOnce() throws Exception {
-    long before = onConsensusThread(() -> host.group().replica().lastIndex());
+    long indexBefore = onConsensusThread(() -> host.group().replica().lastIndex());
     assertAccepted(submitCopies());
-    assertThat(onConsensusThread(() -> host.group().replica().lastIndex())).isEqualTo(before + 1);
+    assertThat(onConsensusThread(() -> host.group().replica().lastIndex()))
+        .isEqualTo(indexBefore + 1);
   }
 
   @Test
   void doesNotAppendAcceptedJobAgain() throws Exception {
     assertAccepted(submitCopies());
-    long accepted = onConsensusThread(() -> host.group().replica().lastIndex());
+    long acceptedIndex = onConsensusThread(() -> host.group().replica().lastIndex());
     assertAccepted(submitCopies());
-    assertThat(onConsensusThread(() -> host.group().replica().lastIndex())).isEqualTo(accepted);
+    assertThat(onConsensusThread(() -> host.group().replica().lastIndex()))
+        .isEqualTo(acceptedIndex);
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestLoadPolls.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestLoadPolls.java
@@ -13,7 +13,7 @@
 class TestLoadPolls {
   private static final long REPORT_HALF_LIFE_MS = 500;
   private static final long STEP_MS = 10;
-  private static final long SPAN_MS = 6_000;
+  private static final long DURATION_MS = 6_000;
 
   private final EngineTable engines = new EngineTable(REPORT_HALF_LIFE_MS);
   private final List<String> polled = new ArrayList<>();
@@ -24,7 +24,7 @@
   }
 
   @BeforeEach
-  void listEngines() {
+  void addEngines() {
     engines.update(
         Map.of(
             "busy", engine("busy", false),
@@ -34,8 +34,8 @@
     engines.find("leaving").onStart(0);
   }
 
-  private void pollForSpan(boolean itemsWait) {
-    for (long nowMs = 0; nowMs < SPAN_MS; nowMs += STEP_MS) {
+  private void runPolls(boolean itemsWait) {
+    for (long nowMs = 0; nowMs < DURATION_MS; nowMs += STEP_MS) {
       polls.onStep(engines.all(), itemsWait, nowMs);
     }
   }
@@ -46,21 +46,21 @@
 
   @Test
   void pollsBusyEnginesMoreOften() {
-    pollForSpan(true);
-    assertThat(pollCount("busy")).isEqualTo(SPAN_MS / LoadPolls.BUSY_INTERVAL_MS);
-    assertThat(pollCount("idle")).isEqualTo(SPAN_MS / LoadPolls.IDLE_INTERVAL_MS);
+    runPolls(true);
+    assertThat(pollCount("busy")).isEqualTo(DURATION_MS / LoadPolls.BUSY_POLL_INTERVAL_MS);
+    assertThat(pollCount("idle")).isEqualTo(DURATION_MS / LoadPolls.IDLE_POLL_INTERVAL_MS);
   }
 
   @Test
   void pollsIdleEnginesOnlyForWaitingItems() {
-    pollForSpan(false);
+    runPolls(false);
     assertThat(pollCount("busy")).isPositive();
     assertThat(pollCount("idle")).isZero();
   }
 
   @Test
   void doesNotPollDrainingEngine() {
-    pollForSpan(true);
+    runPolls(true);
     assertThat(pollCount("leaving")).isZero();
   }
 }
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestMixedLoad.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestMixedLoad.java
@@ -6,23 +6,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Simulates online requests whose rate varies between 0.4 and 1.9 of its mean every six seconds,
- * and batch items that are due 18 s after submission, at a mean engine utilization of five sixths.
- * Guards against late responses and items.
+ * Simulates online requests whose rate alternates between 0.4 and 1.9 times its mean with a period
+ * of six seconds, and batch items that are due 18 s after submission, at a mean engine utilization
+ * of five sixths. Guards against late responses and items.
  */
 class TestMixedLoad {
   private static final int RUNS = 12;
 
-  /** The objective of both kinds of callers without a crash. */
+  /** Applies to peak requests and to items, without a crash. */
   private static final double MAX_LATE_SHARE = 0.05;
 
-  /** With one crash per run, in which all processes lose their state and their calls. */
+  /**
+   * With one crash per run, in which the gateways and the store lose their state and their calls.
+   */
   private static final double MAX_LATE_SHARE_WITH_CRASH = 0.1;
 
   private static final double FIRST_CRASH_AT_MS = 30_000;
   private static final double OUTAGE_MS = 3_000;
 
-  /** Crashes occur in all phases of the load. */
+  /**
+   * Difference between the crash times of successive runs; crashes occur in all phases of the load.
+   */
   private static final double PHASE_STEP_MS = 500;
 
   private static MixedLoadSimulation.Result simulate(IntToDoubleFunction crashAtMs) {
--- a/fleet/src/test/java/io/pathdeck/fleet/store/TestRunTimeEstimate.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/store/TestRunTimeEstimate.java
@@ -37,11 +37,11 @@
 
   @Test
   void eventTimeFollowsSamples() {
-    assertThat(estimate.eventsMs(100)).as("at least one token each").isEqualTo(400);
+    assertThat(estimate.eventsRunMs(100)).as("at least one token each").isEqualTo(400);
     for (int i = 0; i < 30; i++) {
       estimate.onEvents(25, 700);
     }
     estimate.onEvents(0, 700);
-    assertThat(estimate.eventsMs(100)).isBetween(2_780L, 2_800L);
+    assertThat(estimate.eventsRunMs(100)).isBetween(2_780L, 2_800L);
   }
 }
