--- a/fleet/src/main/java/io/pathdeck/fleet/queue/QueuePolicy.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/QueuePolicy.java
@@ -25,7 +25,7 @@
    *
    * @param dueMs when its response should begin
    * @param deadlineMs when its caller gives up
-   * @param holdUntilMs end of its current hold; {@link #NOT_HELD} if none
+   * @param holdUntilMs end of its hold; {@link #NOT_HELD} if none
    * @param mayBeRejected whether it has certainly not run and its caller has received no part of a
    *     response
    */
--- a/fleet/src/main/java/io/pathdeck/fleet/queue/RetryAfterSchedule.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/queue/RetryAfterSchedule.java
@@ -12,7 +12,6 @@
   private static final long CALLER_TIME_DIVISOR = 3;
 
   private static final long SPACING_MS = 5;
-
   private static final long MIN_RETRY_AFTER_MS = 20;
 
   /** Multiples of this number modulo 1 are spread evenly, however many are used. */
--- a/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/BatchRunner.java
@@ -189,7 +189,7 @@
         ItemStream stream = run.stream();
         run.engine().onFailure(nowMs);
         if (stream.isOver()) {
-          // The queue of the consensus thread was full and dropped the outcome.
+          // A full queue of the consensus thread may have dropped the outcome.
           stop(run);
           continue;
         }
