--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/Gateway.java
@@ -12,7 +12,7 @@
 import io.pathdeck.fleet.engine.TrafficSplit;
 import io.pathdeck.fleet.member.FleetView;
 import io.pathdeck.fleet.member.StartProgress;
-import io.pathdeck.fleet.queue.QueueActivation;
+import io.pathdeck.fleet.queue.TenantPolicies;
 import io.pathdeck.protocol.fleet.EngineInstance;
 import io.pathdeck.protocol.fleet.RouteKind;
 import io.pathdeck.protocol.fleet.RouteSpec;
@@ -137,7 +137,7 @@
     if (newView.routes() != null && newView.routes().version() != keysVersion) {
       keysVersion = newView.routes().version();
       keys = CallerKeys.of(newView.routes());
-      hasTenantPolicies = QueueActivation.hasTenantPolicies(newView.routes());
+      hasTenantPolicies = TenantPolicies.existIn(newView.routes());
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestDispatcher.java
@@ -100,7 +100,7 @@
       return;
     }
     long untilMs =
-        decision instanceof QueueDecision.Wait wait ? wait.untilMs() : clockMs.getAsLong();
+        decision instanceof QueueDecision.Hold wait ? wait.untilMs() : clockMs.getAsLong();
     enqueue(service, request, attributes, untilMs);
     dispatch(service);
   }
@@ -224,7 +224,7 @@
     List<EngineState> candidates = candidates(attributes.service(), request.triedEngineIds());
     QueueDecision decision = decide(service, attributes, next.holdUntilMs(), candidates);
     boolean holdExpired = service.queue.hasExpiredHold(clockMs.getAsLong());
-    if (decision instanceof QueueDecision.Wait && !holdExpired) {
+    if (decision instanceof QueueDecision.Hold && !holdExpired) {
       return false;
     }
     service.queue.poll();
@@ -232,7 +232,7 @@
       rejectTooLate(service, request, rejection);
       return true;
     }
-    if (clockMs.getAsLong() > next.sinceMs()) {
+    if (clockMs.getAsLong() > next.waitingSinceMs()) {
       metrics.onSentAfterWait();
     }
     request.sendTo(preferred(candidates));
