--- a/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/ElectionTimer.java
@@ -19,8 +19,9 @@
   private static final long STARTUP_RETRY_JITTER_MS = 300;
 
   /**
-   * The period after startup in which a replica repeats pre-votes at the short delay; several
-   * maximum election timeouts.
+   * The period after startup in which a replica that has heard from no leader repeats its pre-vote
+   * after {@link #STARTUP_RETRY_MS} instead of an election timeout; several maximum election
+   * timeouts.
    */
   private static final long STARTUP_PERIOD_MS = 3_600;
 
@@ -64,9 +65,9 @@
   }
 
   /**
-   * Restarts the timeout after a pre-vote was requested. While replicas start together, the first
-   * request may be lost because the others do not listen yet, so it is repeated after a shorter
-   * delay. Pre-votes are not binding, so repeating them is safe.
+   * Restarts the timeout after a pre-vote was requested. When replicas start together, the first
+   * request may be lost because the other replicas are not listening yet, so it is repeated after a
+   * shorter delay. Pre-votes are not binding, so repeating them is safe.
    */
   void onPreVoteRequested(long nowMs) {
     reset(nowMs);
--- a/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/JoinProtocol.java
@@ -119,7 +119,7 @@
     return true;
   }
 
-  /** Adopts the first configuration of a group. */
+  /** Records the first configuration of a group and resets the log to start from it. */
   void adopt(GroupConfiguration configuration) {
     bootstrap = configuration;
     state.records.add(new BootstrapRecord(state.group, configuration));
--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -153,7 +153,8 @@
   }
 
   /**
-   * The latest send time that a quorum of voters, including the leader itself, has acknowledged.
+   * The latest time such that a quorum of voters has acknowledged a message that was sent at or
+   * after it. The leader counts as a voter that has acknowledged a message sent at {@code nowMs}.
    */
   long quorumAcknowledgedSendMs(long nowMs) {
     return quorumValue(configuration, follower -> follower.lastAcknowledgedSendMs, nowMs);
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The part of a replica's log after its snapshot, in memory, and the configurations in it. */
+/**
+ * The in-memory log of a replica: the entries after its snapshot, the configuration in effect at
+ * the snapshot's index, and the configurations in these entries.
+ */
 final class RaftLog {
   private final List<LogEntry> entries = new ArrayList<>();
   private final TreeMap<Long, GroupConfiguration> configurations = new TreeMap<>();
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftReplica.java
@@ -34,7 +34,7 @@
  */
 public final class RaftReplica {
   private final ReplicaState state;
-  private final FollowerLog follower;
+  private final FollowerLog followerLog;
   private final JoinProtocol joining;
   private final ElectionTimer timer;
   private final MembershipPolicy policy;
@@ -61,7 +61,7 @@
       long nowMs) {
     this.policy = joinSettings.policy();
     this.state = new ReplicaState(group, id, incarnation, settings);
-    this.follower = new FollowerLog(state);
+    this.followerLog = new FollowerLog(state);
     this.joining = new JoinProtocol(state, joinSettings, recovered.bootstrap());
     this.timer = new ElectionTimer(settings, seed, processStartMs, nowMs);
     state.term = recovered.term();
@@ -87,7 +87,7 @@
 
   /** The id of the leader, or -1 when unknown. */
   public int leaderId() {
-    return follower.leaderId();
+    return followerLog.leaderId();
   }
 
   public long commitIndex() {
@@ -109,7 +109,7 @@
   }
 
   /** The newest configuration once it is committed; empty while a membership change is pending. */
-  public Optional<GroupConfiguration> committedConfiguration() {
+  public Optional<GroupConfiguration> configurationIfCommitted() {
     return configuration().filter(next -> state.log.configurationIndex() <= state.commitIndex);
   }
 
@@ -253,12 +253,12 @@
   private void receiveFromLeader(RaftMessage message, long nowMs) {
     if (message instanceof AppendRequest request) {
       if (acceptLeader(request.header(), nowMs)) {
-        follower.onAppendRequest(request);
+        followerLog.onAppendRequest(request);
       } else {
-        follower.respondToAppend(request.header(), false, 0, request.sentAtMs());
+        followerLog.respondToAppend(request.header(), false, 0, request.sentAtMs());
       }
     } else if (message instanceof SnapshotChunk chunk && acceptLeader(chunk.header(), nowMs)) {
-      follower.onSnapshotChunk(chunk);
+      followerLog.onSnapshotChunk(chunk);
     }
   }
 
@@ -279,13 +279,13 @@
     if (role == ReplicaRole.LEADER) {
       leadership.replicator().advanceCommit();
     } else {
-      follower.onSynced();
+      followerLog.onSynced();
     }
   }
 
   /** Called when a received snapshot has been stored and restored. */
   public void onSnapshotInstalled(SnapshotMetadata metadata, long nowMs) {
-    if (!follower.onSnapshotInstalled(metadata)) {
+    if (!followerLog.onSnapshotInstalled(metadata)) {
       return;
     }
     committedEntries.onSnapshotInstalled(metadata.index());
@@ -293,7 +293,7 @@
       role = ReplicaRole.FOLLOWER;
     }
     timer.reset(nowMs);
-    follower.acknowledgeSnapshot();
+    followerLog.acknowledgeSnapshot();
   }
 
   /** Called when a durable snapshot covers the log up to {@code index}. */
@@ -312,14 +312,14 @@
 
   /** Returns the pending outputs and clears them. */
   public Ready takeReady() {
-    List<LogEntry> committed = follower.isInstalling() ? List.of() : committedEntries.take();
+    List<LogEntry> committed = followerLog.isInstalling() ? List.of() : committedEntries.take();
     Ready ready =
         new Ready(
             state.messages,
             state.records,
             state.messagesAfterSync,
             committed,
-            Optional.ofNullable(follower.takeInstall()),
+            Optional.ofNullable(followerLog.takeInstall()),
             state.snapshotRequests);
     state.clearOutputs();
     return ready;
@@ -358,13 +358,13 @@
   // ---- elections
 
   private boolean canCampaign() {
-    return state.isVoter() && !follower.isInstalling();
+    return state.isVoter() && !followerLog.isInstalling();
   }
 
   private void startPreVote(long nowMs) {
     timer.reset(nowMs);
     if (canCampaign()) {
-      follower.setLeader(RecoveredState.NO_REPLICA);
+      followerLog.setLeader(RecoveredState.NO_REPLICA);
       startCampaign(CampaignType.PRE_VOTE, nowMs);
     }
   }
@@ -382,7 +382,7 @@
     boolean fromLeader =
         role == ReplicaRole.FOLLOWER
             && header.term() == state.term
-            && header.from() == follower.leaderId();
+            && header.from() == followerLog.leaderId();
     if (fromLeader && canCampaign()) {
       startCampaign(CampaignType.LEADERSHIP_TRANSFER, nowMs);
     }
@@ -441,7 +441,7 @@
 
   private void becomeLeader(long nowMs) {
     role = ReplicaRole.LEADER;
-    follower.setLeader(state.id);
+    followerLog.setLeader(state.id);
     elections.endCampaign();
     leadership.begin(nowMs);
   }
@@ -449,7 +449,7 @@
   private void becomeFollower(long newTerm, int newLeader, long nowMs) {
     if (newTerm > state.term) {
       elections.beginTerm(newTerm);
-      follower.onNewTerm();
+      followerLog.onNewTerm();
     }
     if (role == ReplicaRole.LEADER) {
       timer.reset(nowMs);
@@ -457,7 +457,7 @@
     if (role != ReplicaRole.JOINING) {
       role = ReplicaRole.FOLLOWER;
     }
-    follower.setLeader(newLeader);
+    followerLog.setLeader(newLeader);
     leadership.end();
     elections.endCampaign();
   }
@@ -481,11 +481,11 @@
     if (header.term() < state.term) {
       return false;
     }
-    boolean sameLeader = follower.leaderId() == header.from() && role == ReplicaRole.FOLLOWER;
+    boolean sameLeader = followerLog.leaderId() == header.from() && role == ReplicaRole.FOLLOWER;
     if (!sameLeader) {
       becomeFollower(header.term(), header.from(), nowMs);
     }
-    follower.setLeaderIncarnation(header.fromIncarnation());
+    followerLog.setLeaderIncarnation(header.fromIncarnation());
     timer.onLeaderHeard(nowMs);
     return true;
   }
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -167,9 +167,9 @@
   }
 
   /**
-   * The index up to which the member's log is assumed to match. For a member without a known match
-   * this is the end of the log: a heartbeat that refers to the beginning would always succeed, and
-   * a member with an empty log would get no entries until the next command.
+   * The index that a heartbeat refers to: the match index or, while none is known, the index before
+   * the next entry to send. Index 0 would match any log, so a member that lacks entries would not
+   * reject the heartbeat, and the leader would not rewind it.
    */
   private static long lastCommonIndex(FollowerProgress progress) {
     return progress.matchIndex > 0 ? progress.matchIndex : progress.nextIndex - 1;
--- a/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/InMemoryGroup.java
@@ -155,7 +155,7 @@
   Set<Integer> voters() {
     Set<Integer> voters = new HashSet<>();
     GroupConfiguration configuration =
-        leader().flatMap(RaftReplica::committedConfiguration).orElse(null);
+        leader().flatMap(RaftReplica::configurationIfCommitted).orElse(null);
     if (configuration != null) {
       configuration.members().stream()
           .filter(Member::voter)
--- a/consensus/src/test/java/io/pathdeck/consensus/TestOpenMembership.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/TestOpenMembership.java
@@ -76,7 +76,12 @@
     group.runFor(4_000);
     assertThat(group.voters()).isEqualTo(FOUNDERS);
     assertThat(
-            group.leader().orElseThrow().committedConfiguration().orElseThrow().isVoter(lostId, 77))
+            group
+                .leader()
+                .orElseThrow()
+                .configurationIfCommitted()
+                .orElseThrow()
+                .isVoter(lostId, 77))
         .isTrue();
   }
 
--- a/control/src/main/java/io/pathdeck/control/ConfigurationLeases.java
+++ b/control/src/main/java/io/pathdeck/control/ConfigurationLeases.java
@@ -53,8 +53,8 @@
 
   private ConfigurationUpdate update(
       ConfigurationHeartbeat heartbeat, MetaStateMachine state, int liveNodes) {
-    long version = state.store().version();
-    long digest = state.store().digest();
+    long version = state.declarationStore().version();
+    long digest = state.declarationStore().digest();
     if (heartbeat.version() == version && heartbeat.digest() == digest) {
       return new ConfigurationUpdate(
           version, digest, version, null, partitions, liveNodes, leaseMs);
--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
@@ -150,7 +150,7 @@
       report = null;
       return;
     }
-    GroupConfiguration committed = group.replica().committedConfiguration().orElse(null);
+    GroupConfiguration committed = group.replica().configurationIfCommitted().orElse(null);
     boolean changed =
         report == null
             || report.term() != group.replica().term()
--- a/state/src/main/java/io/pathdeck/state/BatchJob.java
+++ b/state/src/main/java/io/pathdeck/state/BatchJob.java
@@ -42,7 +42,10 @@
     return job;
   }
 
-  /** Whether {@code tenant} may access the job; always true if it or the job's tenant is empty. */
+  /**
+   * Whether {@code tenant} may access the job. An empty {@code tenant} may access every job, and a
+   * job that was submitted without a tenant is open to all.
+   */
   boolean belongsTo(String tenant) {
     String owner = submission.tenant();
     return owner.isEmpty() || tenant.isEmpty() || owner.equals(tenant);
--- a/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/MetaStateMachine.java
@@ -35,12 +35,12 @@
 
   private final LogClock clock = new LogClock();
   private final DedupTable dedup = new DedupTable();
-  private final DeclarationStore store = new DeclarationStore();
+  private final DeclarationStore declarationStore = new DeclarationStore();
   private final TreeMap<Long, DeclarationDelta> deltas = new TreeMap<>();
 
   /** The declaration with its version and digest; confined to the state machine's thread. */
-  public DeclarationStore store() {
-    return store;
+  public DeclarationStore declarationStore() {
+    return declarationStore;
   }
 
   @Override
@@ -76,19 +76,19 @@
   }
 
   private CommandResult applyDelta(ApplyDelta apply) {
-    if (apply.expectedVersion() != store.version()) {
-      return new VersionConflict(store.version());
+    if (apply.expectedVersion() != declarationStore.version()) {
+      return new VersionConflict(declarationStore.version());
     }
     if (apply.delta().isEmpty()) {
-      return new DeclarationApplied(store.version(), new ArrayList<>());
+      return new DeclarationApplied(declarationStore.version(), new ArrayList<>());
     }
-    List<String> changes = store.describe(apply.delta());
+    List<String> changes = declarationStore.describe(apply.delta());
     accept(apply.delta());
-    return new DeclarationApplied(store.version(), changes);
+    return new DeclarationApplied(declarationStore.version(), changes);
   }
 
   private CommandResult setDraining(SetEngineDraining command) {
-    EngineSpec engine = store.engine(command.engine());
+    EngineSpec engine = declarationStore.engine(command.engine());
     if (engine == null) {
       return new Rejected(RejectionCode.NOT_FOUND, "no engine " + command.engine());
     }
@@ -103,14 +103,14 @@
     Declaration upsert = new Declaration(List.of(), List.of(), List.of(changedEngine));
     DeclarationDelta delta =
         new DeclarationDelta(upsert, new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-    List<String> changes = store.describe(delta);
+    List<String> changes = declarationStore.describe(delta);
     accept(delta);
-    return new DeclarationApplied(store.version(), changes);
+    return new DeclarationApplied(declarationStore.version(), changes);
   }
 
   private void accept(DeclarationDelta delta) {
-    long version = store.version() + 1;
-    store.apply(delta, version);
+    long version = declarationStore.version() + 1;
+    declarationStore.apply(delta, version);
     deltas.put(version, delta);
     if (deltas.size() > MAX_DELTAS) {
       deltas.pollFirstEntry();
@@ -125,7 +125,7 @@
   /** The whole declaration as a delta from an empty one. */
   public DeclarationDelta fullDelta() {
     return new DeclarationDelta(
-        store.declaration(),
+        declarationStore.declaration(),
         NO_REMOVALS.removedTenants(),
         NO_REMOVALS.removedServices(),
         NO_REMOVALS.removedEngines());
@@ -134,7 +134,7 @@
   @Override
   public QueryResult query(Query query) {
     if (query instanceof ReadDeclaration) {
-      return new DeclarationResult(store.version(), store.declaration());
+      return new DeclarationResult(declarationStore.version(), declarationStore.declaration());
     }
     return new NotFound("not a query of the meta group");
   }
@@ -142,21 +142,22 @@
   @Override
   public Iterator<Object> captureSnapshot() {
     List<Object> records = new ArrayList<>();
-    records.add(new MetaRecord(clock.nowMs(), store.version(), store.declaration()));
+    records.add(
+        new MetaRecord(clock.nowMs(), declarationStore.version(), declarationStore.declaration()));
     records.addAll(dedup.records());
     return records.iterator();
   }
 
   @Override
   public void restoreSnapshot(Iterator<Object> records) {
-    store.clear();
+    declarationStore.clear();
     dedup.clear();
     deltas.clear();
     while (records.hasNext()) {
       Object next = records.next();
       if (next instanceof MetaRecord meta) {
         clock.restore(meta.clockMs());
-        store.apply(
+        declarationStore.apply(
             new DeclarationDelta(meta.declaration(), List.of(), List.of(), List.of()),
             meta.version());
       } else if (next instanceof DedupRecord entry) {
--- a/state/src/main/java/io/pathdeck/state/PartitionIds.java
+++ b/state/src/main/java/io/pathdeck/state/PartitionIds.java
@@ -36,7 +36,10 @@
     return 1 + (int) Long.remainderUnsigned(HASH.hashChars(key), partitions);
   }
 
-  /** A 64-bit hash of a text. */
+  /**
+   * The 64-bit xxHash (XXH64, seed 0) of a text's characters. Its values must stay stable: file
+   * identifiers contain them, and they are stored as fingerprints of requests.
+   */
   public static long hash(String text) {
     return HASH.hashChars(text);
   }
--- a/state/src/main/java/io/pathdeck/state/StateMachine.java
+++ b/state/src/main/java/io/pathdeck/state/StateMachine.java
@@ -20,7 +20,10 @@
   /** Applies a committed command. */
   CommandResult apply(CommandEnvelope envelope);
 
-  /** Whether some state expires, so that time must advance even without other commands. */
+  /**
+   * Whether state must expire even when no commands arrive, so that {@code AdvanceTime} has to be
+   * proposed periodically.
+   */
   boolean needsTimeAdvance();
 
   /** Answers a read from the applied state. */
--- a/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
@@ -39,33 +39,34 @@
   /** A leader with its progress and its pending proposals. */
   private final class Leader {
     private final Deque<Command> proposals = new ArrayDeque<>();
-    private long recordedEvent;
-    private long receivedEvent;
+    private long lastRecordedEvent;
+    private long lastReceivedEvent;
     private boolean resultProposed;
 
     void resume() {
-      recordedEvent = machine.job(JOB).orElseThrow().progress(ITEM).lastEvent();
-      receivedEvent = recordedEvent;
+      lastRecordedEvent = machine.job(JOB).orElseThrow().progress(ITEM).lastEvent();
+      lastReceivedEvent = lastRecordedEvent;
       resultProposed = false;
     }
 
     void receive() {
-      receivedEvent = Math.min(LAST_EVENT, receivedEvent + 2);
+      lastReceivedEvent = Math.min(LAST_EVENT, lastReceivedEvent + 2);
     }
 
     void propose() {
       if (resultProposed) {
         return;
       }
-      String text = text(recordedEvent, receivedEvent);
-      if (receivedEvent == LAST_EVENT) {
+      String text = text(lastRecordedEvent, lastReceivedEvent);
+      if (lastReceivedEvent == LAST_EVENT) {
         resultProposed = true;
-        BatchOutcome outcome = new BatchOutcome(ITEM, true, recordedEvent, text);
+        BatchOutcome outcome = new BatchOutcome(ITEM, true, lastRecordedEvent, text);
         proposals.add(new ListBatchResults(JOB, List.of(outcome)));
-      } else if (receivedEvent > recordedEvent) {
-        BatchProgress progress = new BatchProgress(JOB, ITEM, recordedEvent, receivedEvent, text);
+      } else if (lastReceivedEvent > lastRecordedEvent) {
+        BatchProgress progress =
+            new BatchProgress(JOB, ITEM, lastRecordedEvent, lastReceivedEvent, text);
         proposals.add(new RecordBatchProgress(List.of(progress)));
-        recordedEvent = receivedEvent;
+        lastRecordedEvent = lastReceivedEvent;
       }
     }
 
@@ -98,7 +99,7 @@
   }
 
   /** Creates a state machine with one job of one item; called for each try. */
-  private void submit() {
+  private void createMachineWithJob() {
     machine = new BatchStateMachine();
     BatchItem item = new BatchItem(ITEM, "/p", Map.of(), new byte[0], 10, 5);
     apply(new SubmitBatch(JOB, "", "r", "h", List.of(item), 3, 20_000, 60_000, 0));
@@ -107,7 +108,7 @@
   @Property
   void resultIsCompleteOrAbsent(
       @ForAll @Size(max = 120) List<@IntRange(max = 2 * ACTIONS_PER_LEADER - 1) Integer> actions) {
-    submit();
+    createMachineWithJob();
     List<Leader> leaders = List.of(new Leader(), new Leader());
     leaders.forEach(Leader::resume);
     for (int action : actions) {
@@ -123,7 +124,7 @@
   @Property
   void singleLeaderCompletesItem(
       @ForAll @Size(max = 40) List<@IntRange(max = ACTIONS_PER_LEADER - 1) Integer> actions) {
-    submit();
+    createMachineWithJob();
     Leader leader = new Leader();
     leader.resume();
     actions.forEach(action -> perform(leader, action));
--- a/testkit/src/main/java/io/pathdeck/testkit/sim/Sabotage.java
+++ b/testkit/src/main/java/io/pathdeck/testkit/sim/Sabotage.java
@@ -40,7 +40,7 @@
     if (defect == Defect.VERSION_CHECK_IGNORED && request.command() instanceof ApplyDelta apply) {
       MetaStateMachine meta =
           (MetaStateMachine) controller.groups().get(request.group()).stateMachine();
-      ApplyDelta unchecked = new ApplyDelta(meta.store().version(), apply.delta());
+      ApplyDelta unchecked = new ApplyDelta(meta.declarationStore().version(), apply.delta());
       return Optional.of(
           new ProposeRequest(request.group(), request.clientId(), request.requestId(), unchecked));
     }
