--- a/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/store/JobsReplica.java
@@ -151,7 +151,7 @@
       return;
     }
     GroupConfiguration committedConfiguration =
-        group.replica().committedConfiguration().orElse(null);
+        group.replica().configurationIfCommitted().orElse(null);
     boolean isChanged =
         report == null
             || report.term() != group.replica().term()
