--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineCall.java
@@ -29,7 +29,7 @@
     byte[] body,
     long timeoutMs,
     long resumeAfter) {
-  /** The request id of a call on behalf of no caller. */
+  /** The request id of calls that the fleet makes itself, such as load requests. */
   public static final String NO_REQUEST_ID = "";
 
   /** Whether the call is for a request of a caller or an item of a job. */
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/EngineLoadReport.java
@@ -22,7 +22,7 @@
     this(running, waiting, slots, bornMs, PACE_UNKNOWN);
   }
 
-  /** Creates a report without a start time and a pace. */
+  /** Creates a report without a start time or a pace. */
   public EngineLoadReport(int running, int waiting, int slots) {
     this(running, waiting, slots, EngineInstance.BORN_UNKNOWN);
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/adapter/package-info.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/adapter/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The protocols of callers, engines, operators, the directory and the list of engines. An adapter
- * defines names, formats and calls; the code that calls it makes all decisions.
+ * only translates between wire formats and requests; its users decide.
  */
 package io.pathdeck.fleet.adapter;
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/CoordinatorSettings.java
@@ -17,8 +17,8 @@
  * @param firstStart whether this is the first start of the whole system, on empty disks
  * @param engineList the address to read the list of engines from
  * @param engineListIntervalMs the time between reads of the list of engines
- * @param namedGatewaysShare fraction of the ready gateways that the directory lists if there are
- *     many
+ * @param namedGatewaysShare fraction of the ready gateways that the directory lists, but at least
+ *     the minimum of {@link GatewaySelector}; fewer if some are larger than others
  */
 public record CoordinatorSettings(
     FleetSettings fleet,
@@ -37,7 +37,9 @@
    */
   private static final double DEFAULT_NAMED_SHARE = 0.5;
 
+  /** Limits of the setting {@code named_gateways_share}. */
   private static final double MIN_NAMED_SHARE = 0.05;
+
   private static final double MAX_NAMED_SHARE = 1;
 
   /** Reads the settings, or returns the problems that {@code reader} found. */
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelectionMetrics.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/GatewaySelectionMetrics.java
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Counts the gateways selected in zones where their sizes differ, or in all other zones if {@code
-   * bySize} is false.
+   * Counts the selected gateways of the zones where gateways differ in size if {@code bySize}, else
+   * those of the other zones.
    */
   static int countSelected(List<FleetProcess> gateways, GatewaySelector selector, boolean bySize) {
     Map<String, List<FleetProcess>> readyByZone =
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/OperatorEndpoint.java
@@ -62,13 +62,13 @@
     } else if (request instanceof OperatorRequest.ReadRetirement readRequest) {
       readRetirement(exchange, readRequest.name());
     } else if (request instanceof OperatorRequest.Invalid invalid) {
-      sendInvalid(exchange, invalid.reason());
+      rejectInvalid(exchange, invalid.reason());
     } else {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
     }
   }
 
-  private static void sendInvalid(HttpExchange exchange, String reason) {
+  private static void rejectInvalid(HttpExchange exchange, String reason) {
     EVENTS.log(EventCode.ROUTES_REFUSED, "reason", reason);
     exchange.sendError(ApiError.invalid("invalid", reason));
   }
@@ -76,7 +76,7 @@
   private void putRoutes(HttpExchange exchange, RouteTable table) {
     Optional<String> problem = RouteTableValidator.findProblem(table);
     if (problem.isPresent()) {
-      sendInvalid(exchange, problem.get());
+      rejectInvalid(exchange, problem.get());
       return;
     }
     propose(
--- a/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/coordinator/VersionedList.java
@@ -7,10 +7,10 @@
 import java.util.Objects;
 
 /**
- * A keyed list with numbered changes, so that readers can be sent only the changes since their last
- * read.
+ * A map that gives each change a sequence number, so that readers can be sent only the changes
+ * since their last read.
  *
- * @param <V> the type of the entries; replacing an entry by an equal one is no change
+ * @param <V> the type of the entries; replacing an entry with an equal one is no change
  */
 final class VersionedList<V> {
   private static final int MAX_REMOVALS = 1_024;
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -29,8 +29,9 @@
  * on the connection waits for its own. A response contains the id of its request, but does not
  * identify the attempt. So a connection carries each request id only once, and accepts a response
  * only if its request id is that of the current call. Other responses are dropped, and so is data
- * that arrives without a call in progress. A dropped error response without a request id also fails
- * the current call, whose request may have run. A connection that dropped anything is not reused.
+ * that arrives without a call in progress. An error response without a request id cannot be
+ * attributed to a call, so it is dropped and fails the current call, whose request may have run. A
+ * connection that dropped anything is not reused.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog EVENTS = EventLog.of(EngineConnection.class);
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EnginePace.java
@@ -18,7 +18,7 @@
   /** Limits the weight of past samples, so that the average follows lasting changes. */
   private static final int MAX_SAMPLES = 8;
 
-  /** The weight of samples decays, so that an engine avoided as slow is tried again. */
+  /** Half-life of the weight of samples, so that an engine avoided as slow is tried again. */
   private static final double SAMPLES_HALF_LIFE_MS = 30_000;
 
   /** Half-life of a report's effect; the reported pace changes many times a second. */
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineState.java
@@ -13,7 +13,8 @@
   /**
    * How long an engine that is down gets no calls, even if no other engine is left. Without the
    * pause, a request would use up its attempts on refused connections before the engine list shows
-   * the failure. It is short because the list may also show a restart late.
+   * the failure. It is short because the list may be late to show a restart, and a restarted engine
+   * gets no calls during the pause.
    */
   private static final long DOWN_PAUSE_MS = 1_000;
 
@@ -99,7 +100,10 @@
     consecutiveFailures = 0;
   }
 
-  /** Time since data last arrived while calls are in progress; 0 if none are. */
+  /**
+   * Time without received data while calls are in progress, counted at the earliest from the start
+   * of the first; 0 if none are.
+   */
   public long silenceMs(long nowMs) {
     return inFlight == 0 ? 0 : nowMs - lastReceivedMs;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineTable.java
@@ -58,7 +58,6 @@
     }
   }
 
-  /** Whether any engine reports its pace. */
   public boolean anyReportsPace() {
     for (EngineState engine : engines.values()) {
       if (engine.reportsPace()) {
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
@@ -103,7 +103,7 @@
     return new String(buffer, from, to - from, StandardCharsets.UTF_8).trim();
   }
 
-  /** Id of the last complete event; -1 before the first one. */
+  /** Id of the last complete event; before the first one, the id to resume after, or -1 if none. */
   public long lastId() {
     return hasLastId ? lastId : -1;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/StreamTiming.java
@@ -10,7 +10,6 @@
   private long lastEventId = -1;
   private long lastEventAtMs;
 
-  /** Records the arrival of an event. */
   public void onEvent(long eventId, long nowMs) {
     if (firstEventId < 0) {
       firstEventId = eventId;
--- a/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/FleetView.java
@@ -81,7 +81,7 @@
         .findFirst();
   }
 
-  /** Returns the current and the first members of a jobs group, as far as known. */
+  /** Returns the current members and the founders of a jobs group, as far as known. */
   public Set<Member> knownMembersOf(int group) {
     Set<Member> members = new LinkedHashSet<>();
     reportedMembersOf(group).ifPresent(known -> members.addAll(known.members()));
--- a/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
@@ -93,7 +93,7 @@
     private final long attemptTimeoutMs;
     private final CompletableFuture<Result<Message, GroupCallError>> outcome;
     private boolean mayHaveRun;
-    private String lastReason = "no member is known";
+    private String lastFailureReason = "no member is known";
 
     Call(
         Message message,
@@ -109,7 +109,7 @@
     void attempt() {
       long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - timer.nowNs());
       if (remainingMs <= 0) {
-        outcome.complete(Result.err(new GroupCallError(lastReason, mayHaveRun)));
+        outcome.complete(Result.err(new GroupCallError(lastFailureReason, mayHaveRun)));
         return;
       }
       String target = selectTarget();
@@ -127,7 +127,7 @@
 
     private void onResult(String target, Result<Message, TransportError> result) {
       if (!result.isOk()) {
-        lastReason = target + ": " + result.error();
+        lastFailureReason = target + ": " + result.error();
         mayHaveRun |= result.error().mayHaveRun();
         onTargetFailed(target);
         retry();
@@ -135,10 +135,10 @@
       }
       Message reply = result.value();
       if (reply instanceof NotLeader notLeader) {
-        lastReason = target + ": not the leader";
+        lastFailureReason = target + ": not the leader";
         followRedirect(target, notLeader);
       } else if (reply instanceof Unavailable unavailable) {
-        lastReason = target + ": " + unavailable.reason();
+        lastFailureReason = target + ": " + unavailable.reason();
         mayHaveRun |= unavailable.mayHaveRun();
         retry();
       } else {
--- a/fleet/src/main/java/io/pathdeck/fleet/member/ReportInterval.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/ReportInterval.java
@@ -6,21 +6,24 @@
  * The interval between the reports of a process.
  *
  * <p>A process without lists from a leader reports more often, since callers of a starting fleet
- * wait for it. It does so only for {@value #FAST_PERIOD_MS} ms after its start or first answer, so
+ * wait for it. It does so only for {@value #FAST_PHASE_MS} ms after its start or first answer, so
  * that a fleet whose list of engines stays unreadable does not overload its leader with reports.
  */
 final class ReportInterval {
-  /** Interval of a process that follows a leader, or whose fast period is over. */
+  /** Interval of a process that follows a leader, or whose fast phase is over. */
   static final long NORMAL_INTERVAL_MS = 300;
 
   /** Longer than a round trip; short enough to add little to the latency of the first requests. */
   static final long FAST_INTERVAL_MS = 80;
 
-  /** Outlasts several elections and a read of the list of engines. */
-  static final long FAST_PERIOD_MS = 5_000;
+  /**
+   * How long a process reports at the fast interval; longer than several elections and a read of
+   * the engine list.
+   */
+  static final long FAST_PHASE_MS = 5_000;
 
   private final long startNs;
-  private boolean everAnswered;
+  private boolean coordinatorAnswered;
   private long firstAnsweredNs;
 
   /** Creates the interval of a process that starts to report at {@code startNs}. */
@@ -28,10 +31,10 @@
     this.startNs = startNs;
   }
 
-  /** Restarts the fast period at the first answer of a coordinator. */
+  /** Restarts the fast phase at the first answer of a coordinator. */
   void onAnswered(long nowNs) {
-    if (!everAnswered) {
-      everAnswered = true;
+    if (!coordinatorAnswered) {
+      coordinatorAnswered = true;
       firstAnsweredNs = nowNs;
     }
   }
@@ -40,8 +43,8 @@
    * Returns the time until the next report; {@code followsLeader} if a leader's lists are known.
    */
   long intervalMs(boolean followsLeader, long nowNs) {
-    long periodStartNs = everAnswered ? firstAnsweredNs : startNs;
-    boolean inFastPeriod = nowNs - periodStartNs < TimeUnit.MILLISECONDS.toNanos(FAST_PERIOD_MS);
-    return !followsLeader && inFastPeriod ? FAST_INTERVAL_MS : NORMAL_INTERVAL_MS;
+    long phaseStartNs = coordinatorAnswered ? firstAnsweredNs : startNs;
+    boolean inFastPhase = nowNs - phaseStartNs < TimeUnit.MILLISECONDS.toNanos(FAST_PHASE_MS);
+    return !followsLeader && inFastPhase ? FAST_INTERVAL_MS : NORMAL_INTERVAL_MS;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/ViewFreshness.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/ViewFreshness.java
@@ -66,7 +66,6 @@
     }
   }
 
-  /** Whether a leader has ever answered. */
   boolean hasLeaderAnswered() {
     return everConfirmed;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/CrashCauseDetector.java
@@ -61,7 +61,6 @@
     crashesByRequest.remove(request);
   }
 
-  /** Removes all requests. */
   public void clear() {
     crashesByRequest.clear();
   }
@@ -93,9 +92,8 @@
   }
 
   /**
-   * Whether the request would be a cause if no other request explained its crashes. If false, for
-   * example after some crashes have expired, its absence from {@link #causes} is no evidence that
-   * another request is the cause.
+   * Whether the request has enough unexpired crashes to be a cause on its own. Only then does its
+   * absence from {@link #causes} mean that other requests explain its crashes.
    */
   public boolean hasSufficientEvidence(RequestFingerprint request) {
     boolean known = crashesByRequest.containsKey(request);
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/QuarantiningTransport.java
@@ -139,7 +139,7 @@
   }
 
   /** Removes the crashes of a request that completed, since it does not crash engines. */
-  private void onServed(EngineCall call) {
+  private void onCompleted(EngineCall call) {
     if (localDetector.isEmpty() || !localDetector.mayContain(RequestFingerprints.outline(call))) {
       return;
     }
@@ -178,7 +178,7 @@
     @Override
     public void onEnd() {
       if (call.hasRequestId() && status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS) {
-        onServed(call);
+        onCompleted(call);
       }
       listener.onEnd();
     }
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/RequestQuarantine.java
@@ -24,7 +24,10 @@
   private long version = QuarantineList.NONE.version();
   private long localExpiryMs;
 
-  /** Replaces all quarantined requests by the list of the leading coordinator. */
+  /**
+   * Replaces all quarantined requests with the list of the leading coordinator; ignored if its
+   * version is known.
+   */
   void update(QuarantineList list) {
     if (list.version() == version) {
       return;
--- a/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/engine/HeterogeneousEnginesSimulation.java
@@ -22,7 +22,7 @@
   private static final int FAST_ENGINES = 40;
   private static final int ENGINES = 62;
   private static final int SLOTS = 8;
-  private static final int EVENTS = 20;
+  private static final int EVENTS_PER_STREAM = 20;
   private static final double FAST_EVENT_MS = 27;
   private static final double SLOW_EVENT_MS = 75;
   private static final double PREFILL_MS = 9;
@@ -46,12 +46,12 @@
   private record ScheduledAction(double atMs, long order, Runnable action) {}
 
   private static final class Engine {
-    private final double eventMs;
+    private final double msPerEvent;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private int running;
 
-    Engine(double eventMs) {
-      this.eventMs = eventMs;
+    Engine(double msPerEvent) {
+      this.msPerEvent = msPerEvent;
     }
 
     void submit(Runnable begin) {
@@ -144,10 +144,10 @@
 
   private void begin(EngineState state, Engine engine, double sentMs, long tokens) {
     double factor = 0.85 + 0.3 * random.nextDouble();
-    double eventMs = engine.eventMs * factor;
-    schedule(PREFILL_MS * engine.eventMs / FAST_EVENT_MS, () -> state.onPrefillDone(tokens));
+    double msPerEvent = engine.msPerEvent * factor;
+    schedule(PREFILL_MS * engine.msPerEvent / FAST_EVENT_MS, () -> state.onPrefillDone(tokens));
     schedule(
-        PREFILL_MS * engine.eventMs / FAST_EVENT_MS + eventMs,
+        PREFILL_MS * engine.msPerEvent / FAST_EVENT_MS + msPerEvent,
         () -> {
           state.onFirstBytes((long) (nowMs - sentMs), clockMs());
           int pace = reportsPace ? (int) (100 * factor) : EngineLoadReport.PACE_UNKNOWN;
@@ -156,13 +156,13 @@
                   engine.running, engine.waiting.size(), SLOTS, EngineInstance.BORN_UNKNOWN, pace);
           state.onLoadReport(load, clockMs());
           countServed(engine, nowMs - sentMs > LATENCY_TARGET_MS);
-          double restMs = (EVENTS - 1) * eventMs;
+          double restMs = (EVENTS_PER_STREAM - 1) * msPerEvent;
           schedule(restMs, () -> end(state, engine, (long) restMs));
         });
   }
 
   private void countServed(Engine engine, boolean isLate) {
-    boolean isSlow = engine.eventMs == SLOW_EVENT_MS;
+    boolean isSlow = engine.msPerEvent == SLOW_EVENT_MS;
     served++;
     late += isLate ? 1 : 0;
     servedBySlow += isSlow ? 1 : 0;
@@ -170,7 +170,7 @@
   }
 
   private void end(EngineState state, Engine engine, long spanMs) {
-    state.pace().onStream(EVENTS - 1, spanMs, clockMs());
+    state.pace().onStream(EVENTS_PER_STREAM - 1, spanMs, clockMs());
     state.onEnd();
     engine.release();
   }
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
@@ -24,7 +24,7 @@
 
   @Test
   void fastPeriodRestartsAtFirstAnswer() {
-    long lateMs = 3 * ReportInterval.FAST_PERIOD_MS;
+    long lateMs = 3 * ReportInterval.FAST_PHASE_MS;
     assertThat(interval.intervalMs(false, after(lateMs)))
         .isEqualTo(ReportInterval.NORMAL_INTERVAL_MS);
     interval.onAnswered(after(lateMs));
@@ -36,7 +36,7 @@
   void returnsToNormalIntervalAfterFastPeriod() {
     interval.onAnswered(after(10));
     interval.onAnswered(after(2_000));
-    long endMs = 10 + ReportInterval.FAST_PERIOD_MS;
+    long endMs = 10 + ReportInterval.FAST_PHASE_MS;
     assertThat(interval.intervalMs(false, after(endMs - 1)))
         .isEqualTo(ReportInterval.FAST_INTERVAL_MS);
     assertThat(interval.intervalMs(false, after(endMs)))
--- a/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/quarantine/TestCrashCauseDetector.java
@@ -9,7 +9,7 @@
 class TestCrashCauseDetector {
   private static final RequestFingerprint BAD = new RequestFingerprint(1, "bad");
   private static final RequestFingerprint OTHER = new RequestFingerprint(2, "other");
-  private static final long CRASHES_EXPIRED_MS = 61_000;
+  private static final long AFTER_EXPIRY_MS = 61_000;
 
   private final CrashCauseDetector detector = new CrashCauseDetector();
 
@@ -94,7 +94,7 @@
   @Test
   void ignoresOldCrashes() {
     addCrashes(BAD, "a", "b");
-    detector.expire(CRASHES_EXPIRED_MS);
+    detector.expire(AFTER_EXPIRY_MS);
     addCrashes(BAD, "c");
     assertThat(detector.causes(known -> false)).isEmpty();
   }
