--- a/dispatch/src/main/java/io/pathdeck/dispatch/DispatchCore.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/DispatchCore.java
@@ -43,12 +43,12 @@
   private record BacklogKey(int partition, String service) {}
 
   private final DispatchPolicy policy;
-  private final FairShares shares = new FairShares();
+  private final TenantFairQueue fairQueue = new TenantFairQueue();
   private final Map<String, EngineWindow> engines = new LinkedHashMap<>();
   private final Map<ItemKey, Item> items = new LinkedHashMap<>();
-  private final Map<String, ArrayDeque<Item>> ready = new HashMap<>();
-  private final Map<BacklogKey, Map<String, Integer>> waiting = new TreeMap<>(BACKLOG_ORDER);
-  private final Map<BacklogKey, Boolean> leasing = new HashMap<>();
+  private final Map<String, ArrayDeque<Item>> readyQueues = new HashMap<>();
+  private final Map<BacklogKey, Map<String, Integer>> backlogs = new TreeMap<>(BACKLOG_ORDER);
+  private final Map<BacklogKey, Boolean> pendingLeases = new HashMap<>();
   private ConfigurationView configuration = ConfigurationView.EMPTY;
   private boolean stopping;
   private long nextBacklogMs;
@@ -63,7 +63,7 @@
   /** Takes a new configuration. */
   public void onConfiguration(ConfigurationView view) {
     configuration = view;
-    shares.onConfiguration(view);
+    fairQueue.onConfiguration(view);
     Map<String, EngineWindow> previous = new HashMap<>(engines);
     engines.clear();
     for (EngineSpec spec : view.engines()) {
@@ -82,12 +82,12 @@
   }
 
   /** The number of items that run. */
-  public int running() {
+  public int runningItems() {
     return (int) items.values().stream().filter(item -> item.engine != null).count();
   }
 
   /** The items that are held, running or not. */
-  public Set<ItemKey> held() {
+  public Set<ItemKey> heldItems() {
     return items.keySet();
   }
 
@@ -101,16 +101,16 @@
         counts.put(tenant.tenant(), tenant.waiting());
       }
     }
-    waiting.put(new BacklogKey(partition, service), counts);
+    backlogs.put(new BacklogKey(partition, service), counts);
     List<String> tenants = new ArrayList<>();
-    waiting.values().forEach(byTenant -> tenants.addAll(byTenant.keySet()));
+    backlogs.values().forEach(byTenant -> tenants.addAll(byTenant.keySet()));
     items.values().forEach(item -> tenants.add(item.leased.tenant()));
-    shares.onBacklogged(Set.copyOf(tenants));
+    fairQueue.onBacklogged(Set.copyOf(tenants));
   }
 
   /** A lease call ended; {@code leased} is empty when nothing waited or the call failed. */
   public void onLeased(int partition, String service, long leaseId, List<LeasedItem> leased) {
-    leasing.remove(new BacklogKey(partition, service));
+    pendingLeases.remove(new BacklogKey(partition, service));
     for (LeasedItem item : leased) {
       ItemKey key = new ItemKey(partition, leaseId, item.jobId(), item.index());
       Item held = new Item(key, item, service);
@@ -120,7 +120,7 @@
   }
 
   private ArrayDeque<Item> readyQueue(String service) {
-    return ready.computeIfAbsent(service, key -> new ArrayDeque<>());
+    return readyQueues.computeIfAbsent(service, key -> new ArrayDeque<>());
   }
 
   // ---- engines and items
@@ -141,7 +141,7 @@
    * run twice keeps its place: what an engine was told to stop may have run on.
    */
   private void preempt(EngineWindow engine, List<DispatchDecision> decisions) {
-    int excess = engine.excess();
+    int excess = engine.excessItems();
     if (excess == 0) {
       return;
     }
@@ -153,15 +153,15 @@
     }
     for (int i = onEngine.size() - 1; i >= 0 && excess > 0; i--, excess--) {
       Item item = onEngine.get(i);
-      leaveEngine(item);
+      freeSlot(item);
       readyQueue(item.service).addFirst(item);
       decisions.add(new DispatchDecision.PreemptItem(item.key));
     }
   }
 
-  private static void leaveEngine(Item item) {
+  private static void freeSlot(Item item) {
     if (item.engine != null) {
-      item.engine.running--;
+      item.engine.runningItems--;
       item.engine = null;
     }
   }
@@ -173,8 +173,8 @@
       if (item.engine != null) {
         item.engine.onSuccess();
       }
-      leaveEngine(item);
-      shares.charge(item.leased.tenant(), tokens - ESTIMATED_ITEM_TOKENS);
+      freeSlot(item);
+      fairQueue.charge(item.leased.tenant(), tokens - ESTIMATED_ITEM_TOKENS);
     }
   }
 
@@ -185,7 +185,7 @@
       return List.of();
     }
     EngineWindow engine = item.engine;
-    leaveEngine(item);
+    freeSlot(item);
     if (failure instanceof AttemptFailure.Refused refused) {
       engine.closeUntil(nowMs + refused.retryAfterMs());
     } else if (!(failure instanceof AttemptFailure.Invalid)) {
@@ -227,7 +227,7 @@
       if (item.engine != null) {
         decisions.add(new DispatchDecision.PreemptItem(item.key));
       }
-      leaveEngine(item);
+      freeSlot(item);
       readyQueue(item.service).remove(item);
       iterator.remove();
     }
@@ -235,10 +235,10 @@
   }
 
   /** Gives up an item without a result, for a dispatcher that stops. */
-  public void forget(ItemKey key) {
+  public void discard(ItemKey key) {
     Item item = items.remove(key);
     if (item != null) {
-      leaveEngine(item);
+      freeSlot(item);
       readyQueue(item.service).remove(item);
     }
   }
@@ -258,7 +258,7 @@
     }
     for (ServiceSpec service : configuration.services()) {
       startReady(service.name(), nowMs, decisions);
-      leaseMore(service.name(), decisions);
+      leaseItems(service.name(), decisions);
     }
     readBacklogs(nowMs, decisions);
     return decisions;
@@ -268,7 +268,7 @@
     ArrayDeque<Item> queue = readyQueue(service);
     int candidates = queue.size();
     for (int i = 0; i < candidates; i++) {
-      EngineWindow engine = mostFree(service);
+      EngineWindow engine = leastBusyEngine(service);
       if (engine == null) {
         return;
       }
@@ -278,7 +278,7 @@
         continue;
       }
       item.engine = engine;
-      engine.running++;
+      engine.runningItems++;
       // Items are kept in starting order, so that those that started last yield first.
       items.remove(item.key);
       items.put(item.key, item);
@@ -286,22 +286,22 @@
     }
   }
 
-  private EngineWindow mostFree(String service) {
+  private EngineWindow leastBusyEngine(String service) {
     EngineWindow best = null;
     for (EngineWindow engine : engines.values()) {
-      boolean usable = engine.spec.service().equals(service) && engine.free() > 0;
-      if (usable && (best == null || engine.running < best.running)) {
+      boolean usable = engine.spec.service().equals(service) && engine.freeSlots() > 0;
+      if (usable && (best == null || engine.runningItems < best.runningItems)) {
         best = engine;
       }
     }
     return best;
   }
 
-  private void leaseMore(String service, List<DispatchDecision> decisions) {
+  private void leaseItems(String service, List<DispatchDecision> decisions) {
     int free = 0;
     for (EngineWindow engine : engines.values()) {
       if (engine.spec.service().equals(service)) {
-        free += engine.free();
+        free += engine.freeSlots();
       }
     }
     if (free == 0) {
@@ -309,42 +309,42 @@
     }
     int wanted = free + policy.lookahead() - readyQueue(service).size();
     while (wanted > 0) {
-      BacklogKey source = chooseSource(service);
+      BacklogKey source = chooseBacklog(service);
       if (source == null) {
         return;
       }
-      Map<String, Integer> counts = waiting.get(source);
-      String tenant = shares.next(counts.keySet());
+      Map<String, Integer> counts = backlogs.get(source);
+      String tenant = fairQueue.nextTenant(counts.keySet());
       int count = Math.min(policy.maxLeasePerCall(), Math.min(wanted, counts.get(tenant)));
-      takeFromBacklog(counts, tenant, count);
-      leasing.put(source, true);
-      shares.charge(tenant, (double) count * ESTIMATED_ITEM_TOKENS);
+      reduceBacklog(counts, tenant, count);
+      pendingLeases.put(source, true);
+      fairQueue.charge(tenant, (double) count * ESTIMATED_ITEM_TOKENS);
       decisions.add(new DispatchDecision.Lease(source.partition(), service, tenant, count));
       wanted -= count;
     }
   }
 
   /** The partition, among those without a lease call under way, that serves the next tenant. */
-  private BacklogKey chooseSource(String service) {
+  private BacklogKey chooseBacklog(String service) {
     Map<String, BacklogKey> bestByTenant = new TreeMap<>();
-    for (Map.Entry<BacklogKey, Map<String, Integer>> entry : waiting.entrySet()) {
+    for (Map.Entry<BacklogKey, Map<String, Integer>> entry : backlogs.entrySet()) {
       BacklogKey key = entry.getKey();
-      if (!key.service().equals(service) || leasing.containsKey(key)) {
+      if (!key.service().equals(service) || pendingLeases.containsKey(key)) {
         continue;
       }
       for (Map.Entry<String, Integer> count : entry.getValue().entrySet()) {
         BacklogKey best = bestByTenant.get(count.getKey());
-        boolean better = best == null || count.getValue() > waiting.get(best).get(count.getKey());
+        boolean better = best == null || count.getValue() > backlogs.get(best).get(count.getKey());
         if (better) {
           bestByTenant.put(count.getKey(), key);
         }
       }
     }
-    String tenant = shares.next(bestByTenant.keySet());
+    String tenant = fairQueue.nextTenant(bestByTenant.keySet());
     return tenant == null ? null : bestByTenant.get(tenant);
   }
 
-  private static void takeFromBacklog(Map<String, Integer> counts, String tenant, int count) {
+  private static void reduceBacklog(Map<String, Integer> counts, String tenant, int count) {
     int left = counts.get(tenant) - count;
     if (left > 0) {
       counts.put(tenant, left);
--- a/dispatch/src/main/java/io/pathdeck/dispatch/DispatchDuty.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/DispatchDuty.java
@@ -55,7 +55,7 @@
   private final MeterRegistry metrics;
   private final BoundedRing<DispatchEvent> ring = new BoundedRing<>(RING_CAPACITY);
   private final Map<ItemKey, ItemRun> runs = new HashMap<>();
-  private final Map<Integer, PartitionLink> partitions = new TreeMap<>();
+  private final Map<Integer, PartitionClient> partitions = new TreeMap<>();
   private long configurationVersion = -1;
 
   /** The time of the current step. */
@@ -112,22 +112,22 @@
   @Override
   public int doWork(long nowNs) {
     nowMs = TimeUnit.NANOSECONDS.toMillis(nowNs);
-    takeConfiguration();
+    applyConfiguration();
     int work = ring.drain(this::handle, MAX_EVENTS_PER_STEP);
     if (stopRequested) {
-      giveBackWaiting();
+      releaseWaitingItems();
     }
     if (configuration.hasLease() || stopRequested) {
       execute(core.poll(nowMs));
     }
     renewLeases(nowMs);
-    partitions.values().forEach(PartitionLink::commit);
-    boolean settled = partitions.values().stream().noneMatch(PartitionLink::hasUncommitted);
+    partitions.values().forEach(PartitionClient::commit);
+    boolean settled = partitions.values().stream().noneMatch(PartitionClient::hasUncommitted);
     drained = stopRequested && runs.isEmpty() && settled;
     return work;
   }
 
-  private void takeConfiguration() {
+  private void applyConfiguration() {
     Section.Snapshot<ConfigurationView> snapshot = configuration.section().snapshot();
     if (snapshot.version() == configurationVersion) {
       return;
@@ -137,14 +137,15 @@
     for (int partition = 1; partition <= snapshot.value().partitions(); partition++) {
       partitions.computeIfAbsent(
           partition,
-          id -> new PartitionLink(id, settings.id(), settings.leaseMs(), controllers, this::offer));
+          id ->
+              new PartitionClient(id, settings.id(), settings.leaseMs(), controllers, this::offer));
     }
   }
 
   // ---- events
 
   private void handle(DispatchEvent event) {
-    if (event instanceof DispatchEvent.Loaded loaded) {
+    if (event instanceof DispatchEvent.LoadReported loaded) {
       execute(core.onLoad(loaded.engine(), loaded.load(), nowMs));
     } else if (event instanceof DispatchEvent.Completed completed) {
       onCompleted(completed);
@@ -192,7 +193,7 @@
     }
     runs.remove(completed.item());
     core.onCompleted(completed.item(), run.tokens());
-    partitions.get(completed.item().partition()).add(run.toResult());
+    partitions.get(completed.item().partition()).addResult(run.toResult());
     metrics.counter("pathdeck_items", "outcome", "completed").increment();
     metrics.counter("pathdeck_item_tokens").increment(run.tokens());
   }
@@ -218,7 +219,7 @@
       EVENTS.log(
           EventCode.LEASE_REVOKED, "partition", renewed.partition(), "leases", lost, "jobs", ended);
       execute(core.onRevoked(renewed.partition(), lost, ended));
-      runs.keySet().retainAll(core.held());
+      runs.keySet().retainAll(core.heldItems());
     }
   }
 
@@ -240,7 +241,8 @@
                     offer(new DispatchEvent.BacklogRead(read.partition(), read.service(), result)));
       } else if (decision instanceof DispatchDecision.ProbeLoad probe) {
         loadProbe.probe(
-            probe.engine(), load -> offer(new DispatchEvent.Loaded(probe.engine().name(), load)));
+            probe.engine(),
+            load -> offer(new DispatchEvent.LoadReported(probe.engine().name(), load)));
       } else if (decision instanceof DispatchDecision.FailItem fail) {
         failItem(fail);
       }
@@ -260,7 +262,7 @@
   private void failItem(DispatchDecision.FailItem fail) {
     ItemRun run = runs.remove(fail.item());
     if (run != null) {
-      partitions.get(fail.item().partition()).add(run.toFailure(fail.code(), fail.message()));
+      partitions.get(fail.item().partition()).addResult(run.toFailure(fail.code(), fail.message()));
       metrics.counter("pathdeck_items", "outcome", "failed").increment();
     }
   }
@@ -279,13 +281,14 @@
         new EngineRequest(
             run.attemptId(settings.id(), attempt),
             run.requestId(),
-            run.leased.endpoint(),
+            run.leasedItem.endpoint(),
             run.generation().engineBody(),
             Priority.BATCH,
             run.tokens(),
             settings.engineIdleTimeoutMs(),
             ITEM_TIMEOUT_MS);
-    run.call = engineClient.start(engine, request, new ItemListener(run, attempt, engine.name()));
+    run.call =
+        engineClient.start(engine, request, new ItemAttemptListener(run, attempt, engine.name()));
   }
 
   private static void stopAttempt(ItemRun run) {
@@ -307,13 +310,13 @@
   }
 
   /** Returns items that have not started to their partitions. */
-  private void giveBackWaiting() {
+  private void releaseWaitingItems() {
     core.stop();
     Map<Integer, Map<Long, List<ItemRef>>> released = new HashMap<>();
     for (ItemRun run : new ArrayList<>(runs.values())) {
       if (!run.isRunning()) {
         runs.remove(run.key);
-        core.forget(run.key);
+        core.discard(run.key);
         released
             .computeIfAbsent(run.key.partition(), id -> new HashMap<>())
             .computeIfAbsent(run.key.leaseId(), id -> new ArrayList<>())
@@ -336,12 +339,12 @@
   }
 
   /** Collects the answer of one attempt and reports its end. */
-  private final class ItemListener implements AttemptListener {
+  private final class ItemAttemptListener implements AttemptListener {
     private final ItemRun run;
     private final int attempt;
     private final String engine;
 
-    ItemListener(ItemRun run, int attempt, String engine) {
+    ItemAttemptListener(ItemRun run, int attempt, String engine) {
       this.run = run;
       this.attempt = attempt;
       this.engine = engine;
@@ -349,12 +352,12 @@
 
     @Override
     public void onLoad(EngineLoad load) {
-      offer(new DispatchEvent.Loaded(engine, load));
+      offer(new DispatchEvent.LoadReported(engine, load));
     }
 
     @Override
     public void onEvents(byte[] events, int tokens) {
-      run.add(attempt, events, tokens);
+      run.addEvents(attempt, events, tokens);
     }
 
     @Override
--- a/dispatch/src/main/java/io/pathdeck/dispatch/DispatchEvent.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/DispatchEvent.java
@@ -32,5 +32,5 @@
   record Failed(ItemKey item, int attempt, AttemptFailure failure) implements DispatchEvent {}
 
   /** An engine reported its load. */
-  record Loaded(String engine, EngineLoad load) implements DispatchEvent {}
+  record LoadReported(String engine, EngineLoad load) implements DispatchEvent {}
 }
--- a/dispatch/src/main/java/io/pathdeck/dispatch/DispatchPolicy.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/DispatchPolicy.java
@@ -3,21 +3,21 @@
 /**
  * Constants of the dispatch decisions.
  *
- * @param alongsideOnline how many batch items may run on an engine that has online work
- * @param quietMs how long an engine must be without online work before items start there
+ * @param maxItemsWithOnline how many batch items may run on an engine that has online work
+ * @param onlineIdleMs how long an engine must be without online work before items start there
  * @param windowStep by how many items a window opens in {@code windowStepMs} on an idle engine
- * @param loadValidMs how long a load report counts
+ * @param loadExpiryMs how long a load report counts
  * @param probeIntervalMs how often an engine that reports nothing is asked for its load
  * @param backlogIntervalMs how often the partitions are asked for their waiting work
  * @param lookahead items leased beyond what the windows can take at once
  * @param maxItemAttempts attempts after which an item gets an error as its result
  */
 public record DispatchPolicy(
-    int alongsideOnline,
-    long quietMs,
+    int maxItemsWithOnline,
+    long onlineIdleMs,
     int windowStep,
     long windowStepMs,
-    long loadValidMs,
+    long loadExpiryMs,
     long probeIntervalMs,
     long backlogIntervalMs,
     int lookahead,
--- a/dispatch/src/main/java/io/pathdeck/dispatch/EngineWindow.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/EngineWindow.java
@@ -10,12 +10,12 @@
 final class EngineWindow {
   private final DispatchPolicy policy;
   EngineSpec spec;
-  int running;
+  int runningItems;
   private int window;
-  private boolean open;
+  private boolean admitsItems;
   private long onlineSeenAtMs = Long.MIN_VALUE / 2;
   private EngineLoad load;
-  private long loadAtMs = Long.MIN_VALUE / 2;
+  private long loadReportedAtMs = Long.MIN_VALUE / 2;
   private long lastStepMs;
   private long closedUntilMs;
   private long failureBackoffMs;
@@ -28,10 +28,10 @@
 
   void onLoad(EngineLoad reported, long nowMs) {
     load = reported;
-    loadAtMs = nowMs;
+    loadReportedAtMs = nowMs;
     if (reported.online() > 0) {
       onlineSeenAtMs = nowMs;
-      window = Math.min(window, policy.alongsideOnline());
+      window = Math.min(window, policy.maxItemsWithOnline());
     }
   }
 
@@ -52,15 +52,15 @@
 
   /** Opens the window by a step when the engine is known to be idle. */
   void poll(long nowMs) {
-    boolean known = load != null && nowMs - loadAtMs <= policy.loadValidMs();
+    boolean known = load != null && nowMs - loadReportedAtMs <= policy.loadExpiryMs();
     if (spec.draining() || nowMs < closedUntilMs || !known) {
       window = 0;
-      open = false;
+      admitsItems = false;
       return;
     }
-    boolean quiet = isQuiet(nowMs);
-    int limit = quiet ? spec.batchSlots() : policy.alongsideOnline();
-    open = quiet || policy.alongsideOnline() >= spec.batchSlots();
+    boolean quiet = isOnlineIdle(nowMs);
+    int limit = quiet ? spec.batchSlots() : policy.maxItemsWithOnline();
+    admitsItems = quiet || policy.maxItemsWithOnline() >= spec.batchSlots();
     if (nowMs - lastStepMs >= policy.windowStepMs()) {
       lastStepMs = nowMs;
       window = Math.min(limit, window + policy.windowStep());
@@ -69,25 +69,25 @@
   }
 
   /** Whether no online work was seen for a while. */
-  private boolean isQuiet(long nowMs) {
-    return load.online() == 0 && nowMs - onlineSeenAtMs >= policy.quietMs();
+  private boolean isOnlineIdle(long nowMs) {
+    return load.online() == 0 && nowMs - onlineSeenAtMs >= policy.onlineIdleMs();
   }
 
   /**
    * How many more items may start: none beside online work, because reading an item's prompt delays
    * the tokens of all others.
    */
-  int free() {
-    return open ? Math.max(0, window - running) : 0;
+  int freeSlots() {
+    return admitsItems ? Math.max(0, window - runningItems) : 0;
   }
 
   /** How many running items must yield. */
-  int excess() {
-    return Math.max(0, running - window);
+  int excessItems() {
+    return Math.max(0, runningItems - window);
   }
 
   boolean isProbeDue(long nowMs) {
-    boolean fresh = nowMs - loadAtMs < policy.probeIntervalMs();
+    boolean fresh = nowMs - loadReportedAtMs < policy.probeIntervalMs();
     if (fresh || nowMs < nextProbeMs) {
       return false;
     }
--- a/dispatch/src/main/java/io/pathdeck/dispatch/ItemRun.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/ItemRun.java
@@ -15,8 +15,8 @@
   private static final int OK = 200;
 
   final ItemKey key;
-  final LeasedItem leased;
-  private final ObjectNode line;
+  final LeasedItem leasedItem;
+  private final ObjectNode inputLine;
   private final GenerationRequest generation;
   private final CompletionAssembler assembler;
 
@@ -28,9 +28,9 @@
 
   ItemRun(ItemKey key, LeasedItem leased) {
     this.key = key;
-    this.leased = leased;
-    this.line = Json.parseObject(leased.line()).orElse(Json.object());
-    byte[] body = Json.encode(line.path("body"));
+    this.leasedItem = leased;
+    this.inputLine = Json.parseObject(leased.line()).orElse(Json.object());
+    byte[] body = Json.encode(inputLine.path("body"));
     Result<GenerationRequest, ApiError> parsed = GenerationRequest.parse(leased.endpoint(), body);
     this.generation = parsed.isOk() ? parsed.value() : null;
     this.assembler = new CompletionAssembler(leased.endpoint().equals(GenerationRequest.CHAT_PATH));
@@ -62,7 +62,7 @@
   }
 
   /** Adds events of an attempt, unless it has been ended. */
-  synchronized void add(int attempt, byte[] events, int tokens) {
+  synchronized void addEvents(int attempt, byte[] events, int tokens) {
     if (runningAttempt == attempt) {
       assembler.add(events, tokens);
     }
@@ -83,7 +83,7 @@
 
   /** The result of a whole answer. */
   synchronized ItemResult toResult() {
-    ObjectNode result = newLine();
+    ObjectNode result = newOutputLine();
     ObjectNode response = result.putObject("response");
     response.put("status_code", OK);
     response.put("request_id", requestId());
@@ -95,17 +95,17 @@
 
   /** The result of an item that failed for good. */
   synchronized ItemResult toFailure(String code, String message) {
-    ObjectNode result = newLine();
+    ObjectNode result = newOutputLine();
     result.putNull("response");
     result.putObject("error").put("code", code).put("message", message);
     return new ItemResult(
         key.jobId(), key.index(), key.leaseId(), false, Json.encode(result), assembler.tokens());
   }
 
-  private ObjectNode newLine() {
+  private ObjectNode newOutputLine() {
     ObjectNode result = Json.object();
     result.put("id", requestId());
-    result.put("custom_id", line.path("custom_id").asText());
+    result.put("custom_id", inputLine.path("custom_id").asText());
     return result;
   }
 }
--- a/dispatch/src/main/java/io/pathdeck/dispatch/PartitionLink.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/PartitionClient.java
@@ -15,7 +15,7 @@
  * A dispatcher's dealings with one jobs partition: one commit and one renewal at a time, results
  * kept until they are known to be stored.
  */
-final class PartitionLink {
+final class PartitionClient {
   private static final int MAX_RESULTS_PER_COMMIT = 256;
   private static final long CALL_TIMEOUT_MS = 10_000;
   private static final long RENEW_INTERVAL_MS = 500;
@@ -26,11 +26,11 @@
   private final ControlPlane controllers;
   private final Consumer<DispatchEvent> events;
   private final List<ItemResult> uncommitted = new ArrayList<>();
-  private int committing;
-  private boolean renewing;
+  private int commitSize;
+  private boolean renewalPending;
   private long nextRenewMs;
 
-  PartitionLink(
+  PartitionClient(
       int partition,
       String dispatcherId,
       long leaseMs,
@@ -43,7 +43,7 @@
     this.events = events;
   }
 
-  void add(ItemResult result) {
+  void addResult(ItemResult result) {
     uncommitted.add(result);
   }
 
@@ -53,11 +53,11 @@
 
   /** Sends what waits, unless a commit is under way. */
   void commit() {
-    if (committing > 0 || uncommitted.isEmpty()) {
+    if (commitSize > 0 || uncommitted.isEmpty()) {
       return;
     }
-    committing = Math.min(MAX_RESULTS_PER_COMMIT, uncommitted.size());
-    List<ItemResult> batch = new ArrayList<>(uncommitted.subList(0, committing));
+    commitSize = Math.min(MAX_RESULTS_PER_COMMIT, uncommitted.size());
+    List<ItemResult> batch = new ArrayList<>(uncommitted.subList(0, commitSize));
     controllers
         .propose(partition, new CommitResults(dispatcherId, batch), CALL_TIMEOUT_MS)
         .thenAccept(result -> events.accept(new DispatchEvent.Committed(partition, result)));
@@ -66,16 +66,16 @@
   /** A commit ended; a failed one is sent again, which is harmless: the first result stays. */
   void onCommitted(Result<CommandResult, ControlError> result) {
     if (result.isOk()) {
-      uncommitted.subList(0, committing).clear();
+      uncommitted.subList(0, commitSize).clear();
     }
-    committing = 0;
+    commitSize = 0;
   }
 
   void renew(List<Long> leaseIds, long nowMs) {
-    if (renewing || leaseIds.isEmpty() || nowMs < nextRenewMs) {
+    if (renewalPending || leaseIds.isEmpty() || nowMs < nextRenewMs) {
       return;
     }
-    renewing = true;
+    renewalPending = true;
     nextRenewMs = nowMs + RENEW_INTERVAL_MS;
     controllers
         .propose(
@@ -86,6 +86,6 @@
   }
 
   void onRenewed() {
-    renewing = false;
+    renewalPending = false;
   }
 }
--- a/dispatch/src/main/java/io/pathdeck/dispatch/FairShares.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/TenantFairQueue.java
@@ -11,7 +11,7 @@
  * normalized service goes next; a tenant that was idle starts level with the others, so that it
  * neither claims the past nor is punished for having used idle capacity.
  */
-final class FairShares {
+final class TenantFairQueue {
   private final Map<String, Double> virtualTime = new HashMap<>();
   private final Map<String, Integer> weights = new HashMap<>();
   private final java.util.Set<String> backlogged = new java.util.HashSet<>();
@@ -48,7 +48,7 @@
   }
 
   /** The tenant to be served next. */
-  String next(Collection<String> candidates) {
+  String nextTenant(Collection<String> candidates) {
     String best = null;
     double bestTime = Double.MAX_VALUE;
     for (String tenant : candidates) {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/BufferedResponse.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/BufferedResponse.java
@@ -1,20 +1,20 @@
 package io.pathdeck.fleet.gateway;
 
-import io.pathdeck.serving.http.HeldMemory;
+import io.pathdeck.serving.http.ConnectionMemory;
 import java.io.ByteArrayOutputStream;
 
 /** The body of a non-streaming response, counted against the memory budget. */
 final class BufferedResponse {
-  private final HeldMemory memory;
+  private final ConnectionMemory memory;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-  BufferedResponse(HeldMemory memory) {
+  BufferedResponse(ConnectionMemory memory) {
     this.memory = memory;
   }
 
   /** Appends a part; returns false if the budget has no room for it. */
   boolean add(byte[] part) {
-    boolean reserved = memory.tryHoldAnswer(part.length);
+    boolean reserved = memory.tryReserveResponse(part.length);
     if (reserved) {
       bytes.writeBytes(part);
     }
@@ -23,7 +23,7 @@
 
   /** Discards the body and releases its memory. */
   void discard() {
-    memory.releaseAnswer(bytes.size());
+    memory.releaseResponse(bytes.size());
     bytes.reset();
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -28,7 +28,7 @@
 import io.pathdeck.protocol.fleet.FleetRole;
 import io.pathdeck.protocol.transport.TransportTls;
 import io.pathdeck.serving.http.ApiError;
-import io.pathdeck.serving.http.HeldMemory;
+import io.pathdeck.serving.http.ConnectionMemory;
 import io.pathdeck.serving.http.HttpExchange;
 import io.pathdeck.serving.http.HttpServer;
 import java.util.Optional;
@@ -120,10 +120,10 @@
     resources.push(follower);
   }
 
-  private static Supplier<HeldMemory> memoryFactory(
+  private static Supplier<ConnectionMemory> memoryFactory(
       GatewaySettings settings, MemoryMetrics metrics) {
     if (settings.memoryBudgetMb() == 0) {
-      return HttpServer.bodiesOnly(settings.limits());
+      return HttpServer.limitBodiesOnly(settings.limits());
     }
     return new MemoryBudget(settings.memoryBudgetBytes(), metrics)::open;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
@@ -2,7 +2,7 @@
 
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
-import io.pathdeck.serving.http.HeldMemory;
+import io.pathdeck.serving.http.ConnectionMemory;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -38,7 +38,7 @@
   }
 
   /** Opens an empty reservation for one connection. */
-  HeldMemory open() {
+  ConnectionMemory open() {
     return new Reservation();
   }
 
@@ -87,7 +87,7 @@
   }
 
   private void notifyOwner(Evicted evicted) {
-    recordEviction(evicted.tenant(), evicted.bytes(), evicted.owner().giveUp());
+    recordEviction(evicted.tenant(), evicted.bytes(), evicted.owner().evict());
   }
 
   private void recordEviction(String tenant, long bytes, boolean rejected) {
@@ -119,12 +119,12 @@
   }
 
   /** An evicted reservation and the owner that must free its memory. */
-  private record Evicted(String tenant, long bytes, HeldMemory.Owner owner) {}
+  private record Evicted(String tenant, long bytes, ConnectionMemory.Owner owner) {}
 
   /**
    * The memory of one connection. After an eviction it refuses further bytes until it is released.
    */
-  private final class Reservation implements HeldMemory {
+  private final class Reservation implements ConnectionMemory {
     private String tenant = "";
     private Owner owner;
     private long bodyBytes;
@@ -136,12 +136,12 @@
     }
 
     @Override
-    public boolean countsAnswers() {
+    public boolean limitsResponses() {
       return true;
     }
 
     @Override
-    public boolean tryHoldBody(long bytes) {
+    public boolean tryReserveBody(long bytes) {
       if (evicted) {
         return false;
       }
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public boolean tryHoldAnswer(long bytes) {
+    public boolean tryReserveResponse(long bytes) {
       if (evicted) {
         return false;
       }
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void releaseAnswer(long bytes) {
+    public void releaseResponse(long bytes) {
       long released = Math.min(bytes, answerBytes);
       answerBytes -= released;
       applyChange(this, -released);
@@ -203,13 +203,13 @@
     }
 
     @Override
-    public void belongTo(String newTenant, Owner newOwner) {
+    public void setOwner(String newTenant, Owner newOwner) {
       tenant = newTenant;
       owner = newOwner;
     }
 
     @Override
-    public void cannotBeGivenUp() {
+    public void disableEviction() {
       owner = null;
     }
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -97,9 +97,9 @@
 
   void start() {
     context.activeRequests().add(this);
-    exchange.onVanished(this::onCallerDisconnected);
-    exchange.memory().belongTo(authorization.caller().tenantName(), this::evict);
-    exchange.onPartWritten(() -> isReadPaused(nowMs()));
+    exchange.setDisconnectListener(this::onCallerDisconnected);
+    exchange.memory().setOwner(authorization.caller().tenantName(), this::evict);
+    exchange.setPartWrittenListener(() -> isReadPaused(nowMs()));
     long waitMs = Math.max(0, deadlineMs - nowMs());
     timeout = context.eventLoop().schedule(this::onDeadline, waitMs, TimeUnit.MILLISECONDS);
     sendToNextEngine();
@@ -219,7 +219,7 @@
   /** Releases the memory of the request; returns whether it is rejected as not run. */
   private boolean evict() {
     if (finished) {
-      exchange.breakOff();
+      exchange.forceClose();
       return false;
     }
     boolean notRun = !headSent && !budget.mayHaveRun();
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/ResponseFlowControl.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/ResponseFlowControl.java
@@ -31,7 +31,7 @@
 
   /** Pauses or resumes reading; returns whether reading was resumed by this call. */
   boolean update(long nowMs) {
-    if (!exchange.memory().countsAnswers()) {
+    if (!exchange.memory().limitsResponses()) {
       return false;
     }
     boolean wasPaused = readPause.isPaused();
--- a/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/gateway/TestMemoryBudget.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.pathdeck.serving.http.HeldMemory;
+import io.pathdeck.serving.http.ConnectionMemory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -18,9 +18,9 @@
   private final MemoryBudget budget = new MemoryBudget(MAX_BYTES, metrics);
   private final List<String> evicted = new ArrayList<>();
 
-  private HeldMemory request(String name, String tenant, boolean notSent) {
-    HeldMemory memory = budget.open();
-    memory.belongTo(
+  private ConnectionMemory request(String name, String tenant, boolean notSent) {
+    ConnectionMemory memory = budget.open();
+    memory.setOwner(
         tenant,
         () -> {
           evicted.add(name);
@@ -29,9 +29,9 @@
     return memory;
   }
 
-  private HeldMemory requestWithBody(String name, String tenant, long bytes) {
-    HeldMemory memory = request(name, tenant, true);
-    assertThat(memory.tryHoldBody(bytes)).isTrue();
+  private ConnectionMemory requestWithBody(String name, String tenant, long bytes) {
+    ConnectionMemory memory = request(name, tenant, true);
+    assertThat(memory.tryReserveBody(bytes)).isTrue();
     return memory;
   }
 
@@ -58,7 +58,7 @@
   void floodingTenantEvictsOnlyItself() {
     requestWithBody("quiet", "quiet", 100);
     for (int i = 0; i < 500; i++) {
-      request("flood", "flood", true).tryHoldBody(90);
+      request("flood", "flood", true).tryReserveBody(90);
     }
     assertThat(evicted).doesNotContain("quiet");
     assertThat(budget.heldBytes()).isBetween(MAX_BYTES - 100, MAX_BYTES);
@@ -69,8 +69,8 @@
   @Test
   void refusesRequesterThatWouldBeEvicted() {
     requestWithBody("a", "t", 300);
-    HeldMemory large = request("large", "u", true);
-    assertThat(large.tryHoldBody(800)).isFalse();
+    ConnectionMemory large = request("large", "u", true);
+    assertThat(large.tryReserveBody(800)).isFalse();
     assertThat(evicted).isEmpty();
     assertThat(budget.heldBytes()).isEqualTo(300);
     assertThat(metrics.rejected()).isEqualTo(1);
@@ -78,8 +78,8 @@
 
   @Test
   void startedRequestCountsAsAborted() {
-    HeldMemory stream = request("stream", "t", false);
-    assertThat(stream.tryHoldAnswer(900)).isTrue();
+    ConnectionMemory stream = request("stream", "t", false);
+    assertThat(stream.tryReserveResponse(900)).isTrue();
     requestWithBody("a", "u", 200);
     assertThat(evicted).containsExactly("stream");
     assertThat(metrics.aborted()).isEqualTo(1);
@@ -88,45 +88,45 @@
 
   @Test
   void unevictableRequestStaysCounted() {
-    HeldMemory job = requestWithBody("job", "t", 900);
-    job.cannotBeGivenUp();
-    assertThat(request("new", "u", true).tryHoldBody(200)).isFalse();
-    assertThat(job.tryHoldAnswer(200)).isFalse();
+    ConnectionMemory job = requestWithBody("job", "t", 900);
+    job.disableEviction();
+    assertThat(request("new", "u", true).tryReserveBody(200)).isFalse();
+    assertThat(job.tryReserveResponse(200)).isFalse();
     assertThat(evicted).isEmpty();
     assertThat(budget.heldBytes()).isEqualTo(900);
   }
 
   @Test
   void evictedBytesAreReleasedOnce() {
-    HeldMemory stream = request("stream", "t", false);
-    stream.tryHoldAnswer(900);
+    ConnectionMemory stream = request("stream", "t", false);
+    stream.tryReserveResponse(900);
     requestWithBody("a", "u", 200);
-    stream.releaseAnswer(900);
+    stream.releaseResponse(900);
     assertThat(budget.heldBytes()).isEqualTo(200);
   }
 
   @Test
   void connectionIsReusableAfterEviction() {
-    HeldMemory memory = requestWithBody("first", "t", 900);
+    ConnectionMemory memory = requestWithBody("first", "t", 900);
     requestWithBody("other", "u", 200);
-    assertThat(memory.tryHoldAnswer(1)).as("before its release").isFalse();
+    assertThat(memory.tryReserveResponse(1)).as("before its release").isFalse();
     memory.releaseAll();
-    assertThat(memory.tryHoldBody(100)).isTrue();
+    assertThat(memory.tryReserveBody(100)).isTrue();
     assertThat(budget.heldBytes()).isEqualTo(300);
     assertThat(budget.heldBytes("")).as("tenant not yet set").isEqualTo(100);
   }
 
   @Test
   void ownerMayReleaseOthersDuringEviction() {
-    HeldMemory second = requestWithBody("second", "t", 300);
-    HeldMemory first = budget.open();
-    first.belongTo(
+    ConnectionMemory second = requestWithBody("second", "t", 300);
+    ConnectionMemory first = budget.open();
+    first.setOwner(
         "t",
         () -> {
           second.releaseAll();
           return true;
         });
-    first.tryHoldBody(500);
+    first.tryReserveBody(500);
     requestWithBody("new", "u", 300);
     assertThat(budget.heldBytes()).isEqualTo(300);
   }
@@ -135,7 +135,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void limitHoldsUnderRandomOperations(long seed) {
     Random random = new Random(seed);
-    List<HeldMemory> requests = new ArrayList<>();
+    List<ConnectionMemory> requests = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       requests.add(request("r" + i, "t" + i % 7, i % 2 == 0));
     }
@@ -144,19 +144,19 @@
       act(requests.get(chosen), random, chosen);
       assertThat(budget.heldBytes()).isBetween(0L, MAX_BYTES);
     }
-    requests.forEach(HeldMemory::releaseAll);
+    requests.forEach(ConnectionMemory::releaseAll);
     assertThat(budget.heldBytes()).isZero();
     assertThat(metrics.rejected() + metrics.aborted()).isPositive();
   }
 
-  private static void act(HeldMemory memory, Random random, int chosen) {
+  private static void act(ConnectionMemory memory, Random random, int chosen) {
     switch (random.nextInt(4)) {
-      case 0 -> memory.tryHoldBody(random.nextInt(300));
-      case 1 -> memory.tryHoldAnswer(random.nextInt(300));
-      case 2 -> memory.releaseAnswer(random.nextInt(300));
+      case 0 -> memory.tryReserveBody(random.nextInt(300));
+      case 1 -> memory.tryReserveResponse(random.nextInt(300));
+      case 2 -> memory.releaseResponse(random.nextInt(300));
       default -> {
         memory.releaseAll();
-        memory.belongTo("t" + chosen % 7, () -> chosen % 2 == 0);
+        memory.setOwner("t" + chosen % 7, () -> chosen % 2 == 0);
       }
     }
   }
--- a/serving/src/main/java/io/pathdeck/serving/api/ApiRouter.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/ApiRouter.java
@@ -62,9 +62,9 @@
     if (!post && !get) {
       sendMethodNotAllowed(caller.exchange());
     } else if (GenerationRequest.isGenerationPath(path)) {
-      only(post, caller, () -> completions.handle(caller));
+      runIfAllowed(post, caller, () -> completions.handle(caller));
     } else if (path.startsWith("/v1/models")) {
-      only(get, caller, () -> routeModels(caller, path));
+      runIfAllowed(get, caller, () -> routeModels(caller, path));
     } else if (path.startsWith("/v1/files")) {
       routeFiles(caller, path, post);
     } else if (path.startsWith("/v1/batches")) {
@@ -74,7 +74,7 @@
     }
   }
 
-  private static void only(boolean allowed, CallerContext caller, Runnable action) {
+  private static void runIfAllowed(boolean allowed, CallerContext caller, Runnable action) {
     if (allowed) {
       action.run();
     } else {
@@ -86,11 +86,11 @@
     Matcher file = FILE.matcher(path);
     Matcher content = FILE_CONTENT.matcher(path);
     if (path.equals("/v1/files")) {
-      only(post, caller, () -> files.upload(caller));
+      runIfAllowed(post, caller, () -> files.upload(caller));
     } else if (content.matches()) {
-      only(!post, caller, () -> files.content(caller, content.group(1)));
+      runIfAllowed(!post, caller, () -> files.download(caller, content.group(1)));
     } else if (file.matches()) {
-      only(!post, caller, () -> files.get(caller, file.group(1)));
+      runIfAllowed(!post, caller, () -> files.get(caller, file.group(1)));
     } else {
       sendNotFound(caller.exchange());
     }
@@ -106,9 +106,9 @@
         batches.list(caller);
       }
     } else if (cancel.matches()) {
-      only(post, caller, () -> batches.cancel(caller, cancel.group(1)));
+      runIfAllowed(post, caller, () -> batches.cancel(caller, cancel.group(1)));
     } else if (batch.matches()) {
-      only(!post, caller, () -> batches.get(caller, batch.group(1)));
+      runIfAllowed(!post, caller, () -> batches.get(caller, batch.group(1)));
     } else {
       sendNotFound(caller.exchange());
     }
--- a/serving/src/main/java/io/pathdeck/serving/api/BatchesApi.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/BatchesApi.java
@@ -66,7 +66,7 @@
       exchange.sendError(error);
       return;
     }
-    Creation creation = new Creation(caller, request.value(), repeatable.value());
+    BatchCreation creation = new BatchCreation(caller, request.value(), repeatable.value());
     if (key.value() == null) {
       creation.submit(request.value().inputFileId(), creation.newJobId());
     } else {
@@ -120,13 +120,13 @@
   }
 
   /** One creation, from the key's reservation to the accepted job. */
-  private final class Creation {
+  private final class BatchCreation {
     private final CallerContext caller;
     private final HttpExchange exchange;
     private final BatchRequest request;
     private final boolean repeatable;
 
-    Creation(CallerContext caller, BatchRequest request, boolean repeatable) {
+    BatchCreation(CallerContext caller, BatchRequest request, boolean repeatable) {
       this.caller = caller;
       this.exchange = caller.exchange();
       this.request = request;
@@ -177,7 +177,7 @@
     void submit(String fileId, String jobId) {
       Optional<Integer> partition = partitionOf(fileId);
       if (partition.isEmpty()) {
-        exchange.sendError(noFile(fileId));
+        exchange.sendError(fileNotFound(fileId));
         return;
       }
       ReadFileLines firstLine = new ReadFileLines(fileId, caller.tenant().name(), 0, 1);
@@ -193,7 +193,7 @@
         return;
       }
       if (!(result.value() instanceof LinesResult lines) || lines.lines().isEmpty()) {
-        exchange.sendError(noFile(fileId));
+        exchange.sendError(fileNotFound(fileId));
         return;
       }
       JsonNode item = Json.parseObject(lines.lines().get(0)).orElse(Json.object());
@@ -215,15 +215,15 @@
               request.metadata());
       controllers
           .propose(partition, new SubmitJob(spec), TIMEOUT_MS)
-          .thenAccept(submitted -> answerJob(exchange, submitted));
+          .thenAccept(submitted -> sendJob(exchange, submitted));
     }
   }
 
-  private static ApiError noFile(String fileId) {
+  private static ApiError fileNotFound(String fileId) {
     return ApiError.notFound("file_not_found", "no file " + fileId);
   }
 
-  private static void answerJob(HttpExchange exchange, Result<CommandResult, ControlError> result) {
+  private static void sendJob(HttpExchange exchange, Result<CommandResult, ControlError> result) {
     if (!result.isOk()) {
       exchange.sendError(ApiErrors.of(result.error()));
     } else if (result.value() instanceof JobAccepted accepted) {
@@ -244,7 +244,7 @@
     Optional<Integer> partition =
         PartitionIds.partitionOf(jobId, caller.configuration().partitions());
     if (partition.isEmpty()) {
-      exchange.sendError(noBatch(jobId));
+      exchange.sendError(batchNotFound(jobId));
       return;
     }
     controllers
@@ -256,12 +256,12 @@
               } else if (result.value() instanceof JobResult job) {
                 exchange.sendJson(OK, Json.encode(toJson(job.job())));
               } else {
-                exchange.sendError(noBatch(jobId));
+                exchange.sendError(batchNotFound(jobId));
               }
             });
   }
 
-  private static ApiError noBatch(String jobId) {
+  private static ApiError batchNotFound(String jobId) {
     return ApiError.notFound("batch_not_found", "no batch " + jobId);
   }
 
@@ -269,12 +269,12 @@
     Optional<Integer> partition =
         PartitionIds.partitionOf(jobId, caller.configuration().partitions());
     if (partition.isEmpty()) {
-      caller.exchange().sendError(noBatch(jobId));
+      caller.exchange().sendError(batchNotFound(jobId));
       return;
     }
     controllers
         .propose(partition.get(), new CancelJob(jobId, caller.tenant().name()), TIMEOUT_MS)
-        .thenAccept(result -> answerJob(caller.exchange(), result));
+        .thenAccept(result -> sendJob(caller.exchange(), result));
   }
 
   void list(CallerContext caller) {
@@ -297,7 +297,7 @@
             () -> {
               List<Result<QueryResult, ControlError>> results =
                   pages.stream().map(CompletableFuture::join).toList();
-              answerList(exchange, results, after, limit);
+              sendList(exchange, results, after, limit);
             });
   }
 
@@ -313,7 +313,7 @@
     }
   }
 
-  private static void answerList(
+  private static void sendList(
       HttpExchange exchange,
       List<Result<QueryResult, ControlError>> results,
       String after,
--- a/serving/src/main/java/io/pathdeck/serving/api/ClaimService.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/ClaimService.java
@@ -40,7 +40,7 @@
       int partition, String claimKey, String tenant, String fingerprint, String owner) {}
 
   /** How a claim ended; exactly one method is called, on any thread. */
-  public interface Outcome {
+  public interface ClaimListener {
     /** The request may run now; its answer goes through {@code claimedWriter}. */
     void granted(ResponseWriter claimedWriter);
 
@@ -53,7 +53,7 @@
 
   /** Claims the key of a request. */
   public void claim(
-      Claim claim, GenerationRequest generation, ResponseWriter writer, Outcome outcome) {
+      Claim claim, GenerationRequest generation, ResponseWriter writer, ClaimListener outcome) {
     ClaimRequest command =
         new ClaimRequest(claim.claimKey(), claim.tenant(), claim.fingerprint(), claim.owner());
     controllers
@@ -65,21 +65,21 @@
       Claim claim,
       GenerationRequest generation,
       ResponseWriter writer,
-      Outcome outcome,
+      ClaimListener outcome,
       Result<CommandResult, ControlError> result) {
     if (!result.isOk()) {
-      refuseUnclaimed(claim, outcome, result.error());
+      refuseAfterError(claim, outcome, result.error());
     } else if (result.value() instanceof ClaimGranted) {
       outcome.granted(new ClaimedWriter(writer, controllers, claim, generation));
     } else if (result.value() instanceof ClaimExists existing) {
-      answerFrom(existing, claim.fingerprint(), outcome);
+      reportExisting(existing, claim.fingerprint(), outcome);
     } else {
       outcome.refused(ApiError.failed(INTERNAL_ERROR, "internal", "unexpected claim", false));
     }
   }
 
   /** The claim may have been stored although no answer came, so it is given back. */
-  private void refuseUnclaimed(Claim claim, Outcome outcome, ControlError error) {
+  private void refuseAfterError(Claim claim, ClaimListener outcome, ControlError error) {
     if (error.mayHaveRun()) {
       ReleaseClaim release = new ReleaseClaim(claim.claimKey(), claim.owner());
       controllers.propose(claim.partition(), release, RELEASE_TIMEOUT_MS);
@@ -87,7 +87,8 @@
     outcome.refused(ApiErrors.of(new ControlError(error.reason(), false)));
   }
 
-  private static void answerFrom(ClaimExists existing, String fingerprint, Outcome outcome) {
+  private static void reportExisting(
+      ClaimExists existing, String fingerprint, ClaimListener outcome) {
     if (!existing.fingerprint().equals(fingerprint)) {
       outcome.refused(
           ApiError.conflict(
--- a/serving/src/main/java/io/pathdeck/serving/api/CompletionApi.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/CompletionApi.java
@@ -16,7 +16,7 @@
 
 /** Serves {@code /v1/chat/completions} and {@code /v1/completions}. */
 final class CompletionApi {
-  private static final int NODE_PREFIX_SHIFT = 40;
+  private static final int RANDOM_PREFIX_SHIFT = 40;
 
   private final RoutingDuty routing;
   private final ClaimService claims;
@@ -30,8 +30,8 @@
     this.claims = new ClaimService(controllers);
     this.nodeId = nodeId;
     this.requestTimeoutMs = requestTimeoutMs;
-    long prefix = UUID.randomUUID().getMostSignificantBits() >>> NODE_PREFIX_SHIFT;
-    this.nextRequestId = new AtomicLong(prefix << NODE_PREFIX_SHIFT & Long.MAX_VALUE);
+    long prefix = UUID.randomUUID().getMostSignificantBits() >>> RANDOM_PREFIX_SHIFT;
+    this.nextRequestId = new AtomicLong(prefix << RANDOM_PREFIX_SHIFT & Long.MAX_VALUE);
   }
 
   void handle(CallerContext caller) {
@@ -89,7 +89,7 @@
       GenerationRequest generation,
       ResponseWriter writer) {
     OnlineRequest request = new OnlineRequest(routable, generation, writer, System.nanoTime());
-    exchange.onVanished(() -> routing.cancel(routable.requestId()));
+    exchange.setDisconnectListener(() -> routing.cancel(routable.requestId()));
     if (!routing.submit(request)) {
       writer.fail(ApiErrors.overloaded());
     }
@@ -117,7 +117,7 @@
         claim,
         generation,
         writer,
-        new ClaimService.Outcome() {
+        new ClaimService.ClaimListener() {
           @Override
           public void granted(ResponseWriter claimedWriter) {
             submit(exchange, routable, generation, claimedWriter);
--- a/serving/src/main/java/io/pathdeck/serving/api/FilesApi.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/FilesApi.java
@@ -58,15 +58,15 @@
       exchange.sendError(key.isOk() ? upload.error() : key.error());
       return;
     }
-    List<byte[]> lines = LinesUpload.split(upload.value().content());
+    List<byte[]> lines = UploadedLines.split(upload.value().content());
     if (upload.value().purpose().equals(PURPOSE_BATCH)) {
-      Result<List<byte[]>, ApiError> checked = LinesUpload.checkBatchInput(lines);
+      Result<List<byte[]>, ApiError> checked = UploadedLines.checkBatchInput(lines);
       if (!checked.isOk()) {
         exchange.sendError(checked.error());
         return;
       }
     }
-    new UploadTask(caller, upload.value(), lines, fileId(caller, key.value())).run();
+    new UploadTask(caller, upload.value(), lines, fileId(caller, key.value())).start();
   }
 
   /** An upload under an idempotency key always gets the same identifier. */
@@ -123,11 +123,11 @@
       commands.add(new SealFile(fileId, index));
     }
 
-    void run() {
-      next(0);
+    void start() {
+      propose(0);
     }
 
-    private void next(int position) {
+    private void propose(int position) {
       controllers
           .propose(partition, commands.get(position), TIMEOUT_MS)
           .thenAccept(result -> onResult(position, result));
@@ -139,7 +139,7 @@
       } else if (result.value() instanceof Rejected rejected) {
         exchange.sendError(ApiError.conflict("rejected", rejected.message(), true));
       } else if (position + 1 < commands.size()) {
-        next(position + 1);
+        propose(position + 1);
       } else if (result.value() instanceof FileStored stored) {
         exchange.sendJson(OK, Json.encode(toJson(stored.file())));
       }
@@ -166,7 +166,7 @@
         PartitionIds.partitionOf(fileId, caller.configuration().partitions());
     Optional<BatchFileId> batchFile = BatchFileId.parse(fileId);
     if (partition.isEmpty()) {
-      exchange.sendError(noFile(fileId));
+      exchange.sendError(fileNotFound(fileId));
       return;
     }
     Query query =
@@ -175,10 +175,10 @@
             : new ReadFile(fileId, caller.tenant().name());
     controllers
         .query(partition.get(), query, TIMEOUT_MS)
-        .thenAccept(result -> answerFile(exchange, fileId, result));
+        .thenAccept(result -> sendFile(exchange, fileId, result));
   }
 
-  private static void answerFile(
+  private static void sendFile(
       HttpExchange exchange, String fileId, Result<QueryResult, ControlError> result) {
     if (!result.isOk()) {
       exchange.sendError(ApiErrors.of(result.error()));
@@ -193,33 +193,33 @@
       json.put("purpose", "batch_output");
       exchange.sendJson(OK, Json.encode(json));
     } else {
-      exchange.sendError(noFile(fileId));
+      exchange.sendError(fileNotFound(fileId));
     }
   }
 
-  private static ApiError noFile(String fileId) {
+  private static ApiError fileNotFound(String fileId) {
     return ApiError.notFound("file_not_found", "no file " + fileId);
   }
 
-  void content(CallerContext caller, String fileId) {
+  void download(CallerContext caller, String fileId) {
     Optional<Integer> partition =
         PartitionIds.partitionOf(fileId, caller.configuration().partitions());
     if (partition.isEmpty()) {
-      caller.exchange().sendError(noFile(fileId));
+      caller.exchange().sendError(fileNotFound(fileId));
       return;
     }
-    new ContentTask(caller, fileId, partition.get()).next(0);
+    new DownloadTask(caller, fileId, partition.get()).requestPage(0);
   }
 
   /** Sends a file page by page. */
-  private final class ContentTask {
+  private final class DownloadTask {
     private final HttpExchange exchange;
     private final String fileId;
     private final String tenant;
     private final int partition;
     private final Optional<BatchFileId> batchFile;
 
-    ContentTask(CallerContext caller, String fileId, int partition) {
+    DownloadTask(CallerContext caller, String fileId, int partition) {
       this.exchange = caller.exchange();
       this.fileId = fileId;
       this.tenant = caller.tenant().name();
@@ -227,7 +227,7 @@
       this.batchFile = BatchFileId.parse(fileId);
     }
 
-    void next(int from) {
+    void requestPage(int from) {
       Query query =
           batchFile
               .<Query>map(
@@ -242,7 +242,7 @@
       } else if (result.value() instanceof LinesResult page) {
         sendPage(page);
       } else if (result.value() instanceof NotFound) {
-        failPage(noFile(fileId));
+        failPage(fileNotFound(fileId));
       }
     }
 
@@ -272,7 +272,7 @@
       } else if (page.next() < 0) {
         exchange.endStream();
       } else {
-        exchange.whenWritten(() -> next(page.next()));
+        exchange.runAfterWrites(() -> requestPage(page.next()));
       }
     }
   }
--- a/serving/src/main/java/io/pathdeck/serving/api/NodeMetrics.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/NodeMetrics.java
@@ -26,19 +26,19 @@
     this.resumed = registry.counter("pathdeck_streams_resumed");
   }
 
-  void onFirstToken(long sinceArrivalNs) {
+  void recordFirstToken(long sinceArrivalNs) {
     firstToken.record(sinceArrivalNs, TimeUnit.NANOSECONDS);
   }
 
-  void onTokens(int count) {
+  void recordTokens(int count) {
     tokens.increment(count);
   }
 
-  void onResumed() {
+  void recordResumedStream() {
     resumed.increment();
   }
 
-  void onOutcome(String outcome) {
+  void recordOutcome(String outcome) {
     registry.counter("pathdeck_requests", "outcome", outcome).increment();
   }
 }
--- a/serving/src/main/java/io/pathdeck/serving/api/OnlineRequest.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/OnlineRequest.java
@@ -20,7 +20,7 @@
   volatile int deliveredTokens;
 
   /** Whether any event was passed to the writer. */
-  volatile boolean started;
+  volatile boolean eventsDelivered;
 
   /** The call of the running attempt; used by the routing duty only. */
   EngineClient.Call call;
--- a/serving/src/main/java/io/pathdeck/serving/api/RoutingDuty.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/RoutingDuty.java
@@ -89,7 +89,7 @@
   @Override
   public int doWork(long nowNs) {
     nowMs = TimeUnit.NANOSECONDS.toMillis(nowNs);
-    takeConfiguration();
+    applyConfiguration();
     int work = ring.drain(this::handle, MAX_EVENTS_PER_STEP);
     if (nowMs >= nextPollMs) {
       nextPollMs = nowMs + POLL_INTERVAL_MS;
@@ -98,7 +98,7 @@
     return work;
   }
 
-  private void takeConfiguration() {
+  private void applyConfiguration() {
     Section.Snapshot<ConfigurationView> snapshot = configuration.snapshot();
     if (snapshot.version() != configurationVersion) {
       configurationVersion = snapshot.version();
@@ -119,8 +119,8 @@
     } else if (event instanceof RoutingEvent.Cancelled cancelled) {
       execute(core.onCancelled(cancelled.requestId()));
       requests.remove(cancelled.requestId());
-      metrics.onOutcome("cancelled");
-    } else if (event instanceof RoutingEvent.Loaded loaded) {
+      metrics.recordOutcome("cancelled");
+    } else if (event instanceof RoutingEvent.LoadReported loaded) {
       core.onLoad(loaded.engine(), loaded.load(), nowMs);
     }
   }
@@ -144,7 +144,7 @@
       request.writer.fail(ApiErrors.ofInvalid(invalid));
       return;
     }
-    boolean started = request.mayHaveRun || request.started;
+    boolean started = request.mayHaveRun || request.eventsDelivered;
     request.mayHaveRun |= failed.failure().mayHaveRun();
     execute(core.onFailed(failed.requestId(), failed.attempt(), failed.failure(), started, nowMs));
   }
@@ -161,11 +161,11 @@
         cancelAttempt(request);
       } else if (decision instanceof RoutingDecision.Refuse refuse) {
         requests.remove(decision.requestId());
-        metrics.onOutcome("refused");
+        metrics.recordOutcome("refused");
         request.writer.fail(ApiErrors.of(refuse));
       } else if (decision instanceof RoutingDecision.Fail fail) {
         requests.remove(decision.requestId());
-        metrics.onOutcome("failed");
+        metrics.recordOutcome("failed");
         EVENTS.log(EventCode.REQUEST_FAILED, "request", fail.requestId(), "reason", fail.reason());
         request.writer.fail(ApiErrors.of(fail));
       }
@@ -173,10 +173,10 @@
   }
 
   private void startAttempt(OnlineRequest request, int attempt, EngineSpec engine) {
-    RoutingEngineListener listener = new RoutingEngineListener(request, attempt, engine.name());
+    OnlineAttemptListener listener = new OnlineAttemptListener(request, attempt, engine.name());
     request.runningAttempt = attempt;
     if (request.deliveredTokens > 0) {
-      metrics.onResumed();
+      metrics.recordResumedStream();
       EVENTS.log(
           EventCode.STREAM_RESUMED,
           "request",
@@ -213,12 +213,12 @@
   }
 
   /** Passes the events of one attempt to the caller and its end to the routing duty. */
-  private final class RoutingEngineListener implements AttemptListener {
+  private final class OnlineAttemptListener implements AttemptListener {
     private final OnlineRequest request;
     private final int attempt;
     private final String engine;
 
-    RoutingEngineListener(OnlineRequest request, int attempt, String engine) {
+    OnlineAttemptListener(OnlineRequest request, int attempt, String engine) {
       this.request = request;
       this.attempt = attempt;
       this.engine = engine;
@@ -230,7 +230,7 @@
 
     @Override
     public void onLoad(EngineLoad load) {
-      ring.offer(new RoutingEvent.Loaded(engine, load));
+      ring.offer(new RoutingEvent.LoadReported(engine, load));
     }
 
     @Override
@@ -240,12 +240,12 @@
       }
       int deliveredBefore = request.deliveredTokens;
       if (tokens > 0 && deliveredBefore == 0) {
-        metrics.onFirstToken(clockNs.getAsLong() - request.arrivedAtNs);
+        metrics.recordFirstToken(clockNs.getAsLong() - request.arrivedAtNs);
       }
       // Only one attempt runs at a time, so this thread is the only writer.
       request.deliveredTokens = deliveredBefore + tokens;
-      request.started = true;
-      metrics.onTokens(tokens);
+      request.eventsDelivered = true;
+      metrics.recordTokens(tokens);
       if (!request.writer.onEvents(events, tokens)) {
         EVENTS.log(EventCode.CALLER_TOO_SLOW, "request", request.routable.requestId());
         request.runningAttempt = 0;
@@ -258,7 +258,7 @@
     public void onCompleted() {
       if (isCurrent()) {
         request.writer.complete();
-        metrics.onOutcome("completed");
+        metrics.recordOutcome("completed");
         offer(new RoutingEvent.Completed(request.routable.requestId(), attempt));
       }
     }
--- a/serving/src/main/java/io/pathdeck/serving/api/RoutingEvent.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/RoutingEvent.java
@@ -18,5 +18,5 @@
   record Cancelled(long requestId) implements RoutingEvent {}
 
   /** An engine reported its load. */
-  record Loaded(String engine, EngineLoad load) implements RoutingEvent {}
+  record LoadReported(String engine, EngineLoad load) implements RoutingEvent {}
 }
--- a/serving/src/main/java/io/pathdeck/serving/api/LinesUpload.java
+++ b/serving/src/main/java/io/pathdeck/serving/api/UploadedLines.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 
 /** Splits an uploaded file into lines and, for batch input, checks each of them. */
-final class LinesUpload {
+final class UploadedLines {
   static final int MAX_ITEMS = 100_000;
   private static final int MAX_LINE_BYTES = 1 << 20;
 
-  private LinesUpload() {}
+  private UploadedLines() {}
 
   /** The non-empty lines of {@code content}. */
   static List<byte[]> split(byte[] content) {
--- a/serving/src/main/java/io/pathdeck/serving/config/ConfigurationFollower.java
+++ b/serving/src/main/java/io/pathdeck/serving/config/ConfigurationFollower.java
@@ -24,9 +24,10 @@
   private static final EventLog EVENTS = EventLog.of(ConfigurationFollower.class);
   private static final long HEARTBEAT_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(500);
   private static final long MAX_IDLE_NS = TimeUnit.MILLISECONDS.toNanos(100);
-  private static final long CALL_TIMEOUT_MS = 2_000;
+  private static final long HEARTBEAT_TIMEOUT_MS = 2_000;
 
-  private record Answer(long sentAtNs, Result<ConfigurationUpdate, ControlError> result) {}
+  private record HeartbeatResponse(
+      long sentAtNs, Result<ConfigurationUpdate, ControlError> result) {}
 
   private final String processId;
   private final String role;
@@ -35,9 +36,9 @@
   private final BoundedRing<Object> ring = new BoundedRing<>(16);
   private final DeclarationStore store = new DeclarationStore();
   private final Section<ConfigurationView> section = new Section<>(ConfigurationView.EMPTY);
-  private volatile long leaseUntilNs;
-  private boolean hadLease;
-  private boolean waiting;
+  private volatile long leaseExpiresAtNs;
+  private boolean loggedLease;
+  private boolean heartbeatPending;
   private long nextHeartbeatNs;
 
   /**
@@ -48,7 +49,7 @@
   public ConfigurationFollower(
       String processId, String role, ControlPlane controllers, LongSupplier clockNs) {
     this.clockNs = clockNs;
-    this.leaseUntilNs = clockNs.getAsLong() - 1;
+    this.leaseExpiresAtNs = clockNs.getAsLong() - 1;
     this.nextHeartbeatNs = clockNs.getAsLong();
     this.processId = processId;
     this.role = role;
@@ -62,7 +63,7 @@
 
   /** Whether the configuration may still be acted on. */
   public boolean hasLease() {
-    return leaseUntilNs - clockNs.getAsLong() > 0;
+    return leaseExpiresAtNs - clockNs.getAsLong() > 0;
   }
 
   /** The ring the duty's thread waits on. */
@@ -77,27 +78,27 @@
 
   @Override
   public int doWork(long nowNs) {
-    int work = ring.drain(item -> onAnswer((Answer) item), 16);
-    if (!waiting && nowNs - nextHeartbeatNs >= 0) {
+    int work = ring.drain(item -> onHeartbeatResponse((HeartbeatResponse) item), 16);
+    if (!heartbeatPending && nowNs - nextHeartbeatNs >= 0) {
       sendHeartbeat(nowNs);
       work++;
     }
-    reportLease();
+    logLeaseChange();
     return work;
   }
 
   private void sendHeartbeat(long nowNs) {
-    waiting = true;
+    heartbeatPending = true;
     nextHeartbeatNs = nowNs + HEARTBEAT_INTERVAL_NS;
     ConfigurationHeartbeat heartbeat =
         new ConfigurationHeartbeat(processId, role, store.version(), store.digest());
     controllers
-        .heartbeat(heartbeat, CALL_TIMEOUT_MS)
-        .thenAccept(result -> ring.offer(new Answer(nowNs, result)));
+        .heartbeat(heartbeat, HEARTBEAT_TIMEOUT_MS)
+        .thenAccept(result -> ring.offer(new HeartbeatResponse(nowNs, result)));
   }
 
-  private void onAnswer(Answer answer) {
-    waiting = false;
+  private void onHeartbeatResponse(HeartbeatResponse answer) {
+    heartbeatPending = false;
     if (!answer.result().isOk()) {
       return;
     }
@@ -105,7 +106,7 @@
     if (update.version() < store.version()) {
       return;
     }
-    boolean changed = takeDelta(update);
+    boolean changed = applyDelta(update);
     boolean current = store.version() == update.version() && store.digest() == update.digest();
     if (!current) {
       store.clear();
@@ -120,10 +121,10 @@
           new ConfigurationView(
               store.version(), store.declaration(), update.partitions(), update.liveNodes()));
     }
-    leaseUntilNs = answer.sentAtNs() + TimeUnit.MILLISECONDS.toNanos(update.leaseMs());
+    leaseExpiresAtNs = answer.sentAtNs() + TimeUnit.MILLISECONDS.toNanos(update.leaseMs());
   }
 
-  private boolean takeDelta(ConfigurationUpdate update) {
+  private boolean applyDelta(ConfigurationUpdate update) {
     if (update.delta() == null) {
       return false;
     }
@@ -138,10 +139,10 @@
     return true;
   }
 
-  private void reportLease() {
+  private void logLeaseChange() {
     boolean has = hasLease();
-    if (has != hadLease) {
-      hadLease = has;
+    if (has != loggedLease) {
+      loggedLease = has;
       EVENTS.log(
           has ? EventCode.CONFIGURATION_LEASE_RENEWED : EventCode.CONFIGURATION_LEASE_LAPSED,
           "version",
--- a/serving/src/main/java/io/pathdeck/serving/engine/HttpEngineClient.java
+++ b/serving/src/main/java/io/pathdeck/serving/engine/HttpEngineClient.java
@@ -138,7 +138,7 @@
         collectError(part.getBodyPartBytes());
         return State.CONTINUE;
       }
-      reader.feed(part.getBodyPartBytes());
+      reader.read(part.getBodyPartBytes());
       if (reader.load() != null) {
         listener.onLoad(reader.load());
       }
@@ -164,7 +164,7 @@
       if (ended) {
         return null;
       }
-      if (status == OK && reader.isDone()) {
+      if (status == OK && reader.hasEndMarker()) {
         ended = true;
         listener.onCompleted();
       } else {
--- a/serving/src/main/java/io/pathdeck/serving/engine/SseReader.java
+++ b/serving/src/main/java/io/pathdeck/serving/engine/SseReader.java
@@ -18,34 +18,34 @@
 
   private byte[] buffer = new byte[1024];
   private int length;
-  private int scanned;
-  private int lastOffset;
+  private int scannedLength;
+  private int lastTokenOffset;
   private int tokens;
-  private boolean done;
+  private boolean endMarkerRead;
   private String problem;
   private EngineLoad load;
   private final ByteArrayOutputStream events = new ByteArrayOutputStream();
 
   SseReader(int resumeAfter) {
-    this.lastOffset = resumeAfter;
+    this.lastTokenOffset = resumeAfter;
   }
 
   /** Takes bytes of the stream; what they complete is then found in the accessors. */
-  void feed(byte[] bytes) {
+  void read(byte[] bytes) {
     events.reset();
     tokens = 0;
     load = null;
     append(bytes);
     int start = 0;
-    for (int i = Math.max(scanned, 1); i < length && problem == null; i++) {
+    for (int i = Math.max(scannedLength, 1); i < length && problem == null; i++) {
       if (buffer[i] == '\n' && buffer[i - 1] == '\n') {
-        acceptEvent(start, i + 1);
+        processEvent(start, i + 1);
         start = i + 1;
       }
     }
     System.arraycopy(buffer, start, buffer, 0, length - start);
     length -= start;
-    scanned = length;
+    scannedLength = length;
     if (length > MAX_EVENT_LENGTH) {
       problem = "an event is too long";
     }
@@ -59,20 +59,20 @@
     length += bytes.length;
   }
 
-  private void acceptEvent(int start, int end) {
-    if (done) {
+  private void processEvent(int start, int end) {
+    if (endMarkerRead) {
       problem = "data after the end marker";
     } else if (buffer[start] == ':') {
-      acceptComment(start, end);
+      processComment(start, end);
     } else if (startsWith(ID_PREFIX, start, end)) {
-      acceptToken(start, end);
+      processToken(start, end);
     } else {
-      done = startsWith(DONE_LINE, start, end);
+      endMarkerRead = startsWith(DONE_LINE, start, end);
       events.write(buffer, start, end - start);
     }
   }
 
-  private void acceptComment(int start, int end) {
+  private void processComment(int start, int end) {
     if (startsWith(LOAD_PREFIX, start, end)) {
       int from = start + LOAD_PREFIX.length;
       String text = new String(buffer, from, end - from, StandardCharsets.UTF_8).trim();
@@ -80,18 +80,18 @@
     }
   }
 
-  private void acceptToken(int start, int end) {
+  private void processToken(int start, int end) {
     int position = start + ID_PREFIX.length;
     int offset = 0;
     while (position < end && buffer[position] >= '0' && buffer[position] <= '9') {
       offset = offset * 10 + (buffer[position] - '0');
       position++;
     }
-    if (buffer[position] != '\n' || offset != lastOffset + 1) {
-      problem = "token " + offset + " after token " + lastOffset;
+    if (buffer[position] != '\n' || offset != lastTokenOffset + 1) {
+      problem = "token " + offset + " after token " + lastTokenOffset;
       return;
     }
-    lastOffset = offset;
+    lastTokenOffset = offset;
     tokens++;
     events.write(buffer, position + 1, end - position - 1);
   }
@@ -117,8 +117,8 @@
   }
 
   /** Whether the end marker was seen. */
-  boolean isDone() {
-    return done;
+  boolean hasEndMarker() {
+    return endMarkerRead;
   }
 
   /** Why the stream cannot be trusted any more, or null. */
--- a/serving/src/main/java/io/pathdeck/serving/http/BodyBudget.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/BodyBudget.java
@@ -8,7 +8,7 @@
  */
 final class BodyBudget {
   private final long capacity;
-  private final AtomicLong held = new AtomicLong();
+  private final AtomicLong reservedBytes = new AtomicLong();
 
   BodyBudget(long capacity) {
     this.capacity = capacity;
@@ -16,32 +16,32 @@
 
   /** Reserves room; false when there is none now. */
   boolean tryReserve(long bytes) {
-    if (held.addAndGet(bytes) > capacity) {
-      held.addAndGet(-bytes);
+    if (reservedBytes.addAndGet(bytes) > capacity) {
+      reservedBytes.addAndGet(-bytes);
       return false;
     }
     return true;
   }
 
   void release(long bytes) {
-    held.addAndGet(-bytes);
+    reservedBytes.addAndGet(-bytes);
   }
 
   /** What one connection holds of the budget; answers do not count. */
-  HeldMemory forConnection() {
-    return new Bodies();
+  ConnectionMemory forConnection() {
+    return new ConnectionBodies();
   }
 
-  private final class Bodies implements HeldMemory {
+  private final class ConnectionBodies implements ConnectionMemory {
     private long reservedBytes;
 
     @Override
-    public boolean countsAnswers() {
+    public boolean limitsResponses() {
       return false;
     }
 
     @Override
-    public boolean tryHoldBody(long bytes) {
+    public boolean tryReserveBody(long bytes) {
       boolean reserved = tryReserve(bytes);
       if (reserved) {
         reservedBytes += bytes;
@@ -50,12 +50,12 @@
     }
 
     @Override
-    public boolean tryHoldAnswer(long bytes) {
+    public boolean tryReserveResponse(long bytes) {
       return true;
     }
 
     @Override
-    public void releaseAnswer(long bytes) {}
+    public void releaseResponse(long bytes) {}
 
     @Override
     public void releaseAll() {
@@ -64,9 +64,9 @@
     }
 
     @Override
-    public void belongTo(String tenant, Owner owner) {}
+    public void setOwner(String tenant, Owner owner) {}
 
     @Override
-    public void cannotBeGivenUp() {}
+    public void disableEviction() {}
   }
 }
--- a/serving/src/main/java/io/pathdeck/serving/http/ExchangeHandler.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/ExchangeHandler.java
@@ -28,10 +28,10 @@
   private static final long RETRY_AFTER_MS = 2_000;
 
   /** Who sends a request is known only when it was read. */
-  private static final String NO_TENANT_YET = "";
+  private static final String UNKNOWN_TENANT = "";
 
   private final HttpLimits limits;
-  private final HeldMemory memory;
+  private final ConnectionMemory memory;
   private final Consumer<HttpExchange> dispatcher;
   private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
   private ChannelHandlerContext context;
@@ -41,7 +41,7 @@
   private ScheduledFuture<?> readTimeout;
   private boolean rejected;
 
-  ExchangeHandler(HttpLimits limits, HeldMemory memory, Consumer<HttpExchange> dispatcher) {
+  ExchangeHandler(HttpLimits limits, ConnectionMemory memory, Consumer<HttpExchange> dispatcher) {
     this.memory = memory;
     this.limits = limits;
     this.dispatcher = dispatcher;
@@ -58,13 +58,13 @@
     if (rejected) {
       ReferenceCountUtil.release(message);
     } else if (exchange != null) {
-      pipeline(message);
+      enqueuePipelined(message);
     } else {
-      accept(message);
+      processMessage(message);
     }
   }
 
-  private void pipeline(Object message) {
+  private void enqueuePipelined(Object message) {
     if (pipelined.size() >= MAX_PIPELINED_MESSAGES) {
       ReferenceCountUtil.release(message);
       context.close();
@@ -73,19 +73,19 @@
     pipelined.add(message);
   }
 
-  private void accept(Object message) {
+  private void processMessage(Object message) {
     if (message instanceof HttpRequest head) {
-      acceptHead(head);
+      processHead(head);
     }
     if (message instanceof HttpContent content) {
-      acceptContent(content);
+      processContent(content);
     }
   }
 
-  private void acceptHead(HttpRequest head) {
+  private void processHead(HttpRequest head) {
     request = head;
     body = Unpooled.compositeBuffer(1024);
-    memory.belongTo(NO_TENANT_YET, this::rejectForWantOfMemory);
+    memory.setOwner(UNKNOWN_TENANT, this::rejectOutOfMemory);
     if (head.decoderResult().isFailure()) {
       reject(ApiError.invalid("bad_request", "the request is not valid HTTP"));
       return;
@@ -104,7 +104,7 @@
     return upload ? limits.maxUploadBytes() : limits.maxBodyBytes();
   }
 
-  private void acceptContent(HttpContent content) {
+  private void processContent(HttpContent content) {
     ByteBuf data = content.content();
     if (rejected || request == null) {
       data.release();
@@ -116,9 +116,9 @@
       return;
     }
     int length = data.readableBytes();
-    if (!memory.tryHoldBody(length)) {
+    if (!memory.tryReserveBody(length)) {
       data.release();
-      rejectForWantOfMemory();
+      rejectOutOfMemory();
       return;
     }
     body.addComponent(true, data);
@@ -127,14 +127,14 @@
     }
   }
 
-  private boolean rejectForWantOfMemory() {
+  private boolean rejectOutOfMemory() {
     reject(ApiError.unavailable("overloaded", "too many large requests at a time", RETRY_AFTER_MS));
     return true;
   }
 
   private void dispatch() {
     cancelReadTimeout();
-    memory.cannotBeGivenUp();
+    memory.disableEviction();
     byte[] bytes = new byte[body.readableBytes()];
     body.readBytes(bytes);
     releaseBody();
@@ -171,16 +171,16 @@
   }
 
   private void onExchangeEnd() {
-    context.executor().execute(this::nextExchange);
+    context.executor().execute(this::startNextExchange);
   }
 
-  private void nextExchange() {
+  private void startNextExchange() {
     exchange = null;
     memory.releaseAll();
     if (context.channel().isActive()) {
       startReadTimeout();
       while (!pipelined.isEmpty() && exchange == null) {
-        accept(pipelined.poll());
+        processMessage(pipelined.poll());
       }
     }
   }
@@ -230,7 +230,7 @@
     pipelined.forEach(ReferenceCountUtil::release);
     pipelined.clear();
     if (exchange != null) {
-      exchange.vanished();
+      exchange.handleDisconnect();
     }
   }
 
--- a/serving/src/main/java/io/pathdeck/serving/http/HttpExchange.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/HttpExchange.java
@@ -38,26 +38,26 @@
   private final Channel channel;
   private final HttpRequest request;
   private final byte[] body;
-  private final HeldMemory memory;
+  private final ConnectionMemory memory;
   private final QueryStringDecoder uri;
-  private final Runnable onEnd;
-  private volatile Runnable onEndedObserver = () -> {};
+  private final Runnable connectionCallback;
+  private volatile Runnable endListener = () -> {};
   private final AtomicBoolean ended = new AtomicBoolean();
   private final AtomicInteger pendingBytes = new AtomicInteger();
   private volatile boolean streaming;
-  private volatile boolean closeAfter;
-  private volatile Runnable onVanished = () -> {};
-  private volatile Runnable onPartWritten = () -> {};
+  private volatile boolean closesAfterResponse;
+  private volatile Runnable disconnectListener = () -> {};
+  private volatile Runnable partWrittenListener = () -> {};
 
   HttpExchange(
-      Channel channel, HttpRequest request, byte[] body, HeldMemory memory, Runnable onEnd) {
+      Channel channel, HttpRequest request, byte[] body, ConnectionMemory memory, Runnable onEnd) {
     this.channel = channel;
     this.request = request;
     this.body = body;
     this.memory = memory;
     this.uri = new QueryStringDecoder(request.uri());
-    this.onEnd = onEnd;
-    this.closeAfter = !HttpUtil.isKeepAlive(request);
+    this.connectionCallback = onEnd;
+    this.closesAfterResponse = !HttpUtil.isKeepAlive(request);
   }
 
   public HttpMethod method() {
@@ -93,35 +93,35 @@
   }
 
   /** What is kept in memory for this request and its answer. */
-  public HeldMemory memory() {
+  public ConnectionMemory memory() {
     return memory;
   }
 
   /** Runs {@code action} if the caller disconnects before the response has ended. */
-  public void onVanished(Runnable action) {
-    onVanished = action;
+  public void setDisconnectListener(Runnable action) {
+    disconnectListener = action;
   }
 
   /** Runs {@code observer} when the response has been sent or given up. */
-  void onEnded(Runnable observer) {
-    onEndedObserver = observer;
+  void setEndListener(Runnable observer) {
+    endListener = observer;
   }
 
-  private void notifyEnded() {
-    onEndedObserver.run();
-    onEnd.run();
+  private void notifyEndListeners() {
+    endListener.run();
+    connectionCallback.run();
   }
 
-  void vanished() {
+  void handleDisconnect() {
     if (ended.compareAndSet(false, true)) {
-      notifyEnded();
-      onVanished.run();
+      notifyEndListeners();
+      disconnectListener.run();
     }
   }
 
   /** Closes the connection after this response. */
   public void closeAfterResponse() {
-    closeAfter = true;
+    closesAfterResponse = true;
   }
 
   /** Whether the response has been ended, or the caller is gone. */
@@ -203,7 +203,7 @@
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
     response.headers().set(headers);
     response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    if (closeAfter) {
+    if (closesAfterResponse) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
     streaming = true;
@@ -239,20 +239,20 @@
     if (pendingBytes.addAndGet(part.length) > MAX_PENDING_BYTES) {
       return false;
     }
-    if (!memory.tryHoldAnswer(part.length)) {
+    if (!memory.tryReserveResponse(part.length)) {
       return false;
     }
     ByteBuf buffer = Unpooled.wrappedBuffer(part);
     channel
         .writeAndFlush(new DefaultHttpContent(buffer))
-        .addListener(future -> partWritten(part.length));
+        .addListener(future -> handlePartWritten(part.length));
     return true;
   }
 
-  private void partWritten(int length) {
+  private void handlePartWritten(int length) {
     pendingBytes.addAndGet(-length);
-    memory.releaseAnswer(length);
-    onPartWritten.run();
+    memory.releaseResponse(length);
+    partWrittenListener.run();
   }
 
   /** How many bytes of a streamed response the caller has not taken yet. */
@@ -261,12 +261,12 @@
   }
 
   /** Runs {@code action} on the event loop whenever the caller has taken a part of a stream. */
-  public void onPartWritten(Runnable action) {
-    onPartWritten = action;
+  public void setPartWrittenListener(Runnable action) {
+    partWrittenListener = action;
   }
 
   /** Runs {@code action} once all that was written so far has left this process. */
-  public void whenWritten(Runnable action) {
+  public void runAfterWrites(Runnable action) {
     channel
         .writeAndFlush(Unpooled.EMPTY_BUFFER)
         .addListener(
@@ -288,23 +288,23 @@
   public void abort() {
     if (ended.compareAndSet(false, true)) {
       channel.close();
-      notifyEnded();
+      notifyEndListeners();
     }
   }
 
   /** Closes the connection, also while an ended response waits for a slow caller. */
-  public void breakOff() {
+  public void forceClose() {
     abort();
     channel.close();
   }
 
   private void finish(Object last) {
-    if (closeAfter && last instanceof HttpResponse response) {
+    if (closesAfterResponse && last instanceof HttpResponse response) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
     ChannelFuture written = channel.writeAndFlush(last);
-    written.addListener(future -> notifyEnded());
-    if (closeAfter) {
+    written.addListener(future -> notifyEndListeners());
+    if (closesAfterResponse) {
       written.addListener(ChannelFutureListener.CLOSE);
     }
   }
--- a/serving/src/main/java/io/pathdeck/serving/http/HttpServer.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/HttpServer.java
@@ -38,12 +38,12 @@
   private static final int MAX_INITIAL_LINE_LENGTH = 8_192;
 
   /** Other processes serve on, so a caller that is refused during a stop need not wait. */
-  private static final Map<String, String> RETRY_ELSEWHERE_NOW =
+  private static final Map<String, String> RETRY_IMMEDIATELY =
       Map.of(HttpHeaderNames.RETRY_AFTER.toString(), "0");
 
   private static final long DRAIN_POLL_MS = 20;
 
-  private final Supplier<HeldMemory> memory;
+  private final Supplier<ConnectionMemory> memory;
   private volatile HttpLimits limits;
   private final Optional<SslContext> tls;
   private final Consumer<HttpExchange> handler;
@@ -59,7 +59,7 @@
       HttpLimits limits,
       Optional<SslContext> tls,
       Consumer<HttpExchange> handler) {
-    this(address, eventLoops, limits, tls, bodiesOnly(limits), handler);
+    this(address, eventLoops, limits, tls, limitBodiesOnly(limits), handler);
   }
 
   /** Binds {@code address}; {@code memory} counts what each connection holds. */
@@ -68,7 +68,7 @@
       EventLoopGroup eventLoops,
       HttpLimits limits,
       Optional<SslContext> tls,
-      Supplier<HeldMemory> memory,
+      Supplier<ConnectionMemory> memory,
       Consumer<HttpExchange> handler) {
     this.limits = limits;
     this.memory = memory;
@@ -80,14 +80,14 @@
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, 1024)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new Initializer())
+            .childHandler(new ConnectionInitializer())
             .bind(address.toSocketAddress())
             .syncUninterruptibly()
             .channel();
   }
 
   /** Bounds request bodies only. */
-  public static Supplier<HeldMemory> bodiesOnly(HttpLimits limits) {
+  public static Supplier<ConnectionMemory> limitBodiesOnly(HttpLimits limits) {
     BodyBudget budget = new BodyBudget(limits.maxUploadBytes() + 8L * limits.maxBodyBytes());
     return budget::forConnection;
   }
@@ -107,13 +107,13 @@
     return phase.get().compareTo(ServerPhase.DRAINING) >= 0;
   }
 
-  private void enter(ServerPhase next) {
+  private void advanceTo(ServerPhase next) {
     phase.accumulateAndGet(next, (now, later) -> now.compareTo(later) < 0 ? later : now);
   }
 
   /** Still serves, but closes each connection after its next response. */
   public void closeConnectionsAfterResponses() {
-    enter(ServerPhase.LEAVING);
+    advanceTo(ServerPhase.CLOSING_CONNECTIONS);
     forEachConnection(ExchangeHandler::closeAfterResponse);
   }
 
@@ -124,7 +124,7 @@
    * @return whether all connections were closed in time
    */
   public boolean drain(long timeoutMs) {
-    enter(ServerPhase.DRAINING);
+    advanceTo(ServerPhase.DRAINING);
     channel.close().syncUninterruptibly();
     long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     while (!connections.isEmpty() && System.nanoTime() < deadlineNs) {
@@ -151,12 +151,12 @@
 
   @Override
   public void close() {
-    enter(ServerPhase.CLOSED);
+    advanceTo(ServerPhase.CLOSED);
     channel.close().syncUninterruptibly();
     connections.close().awaitUninterruptibly();
   }
 
-  private final class Initializer extends ChannelInitializer<SocketChannel> {
+  private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
     @Override
     protected void initChannel(SocketChannel child) {
       HttpLimits current = limits;
@@ -181,7 +181,7 @@
 
   private void dispatch(HttpExchange exchange) {
     activeExchanges.incrementAndGet();
-    exchange.onEnded(activeExchanges::decrementAndGet);
+    exchange.setEndListener(activeExchanges::decrementAndGet);
     if (phase.get() != ServerPhase.SERVING) {
       exchange.closeAfterResponse();
     }
@@ -189,7 +189,7 @@
       EVENTS.log(EventCode.REQUEST_REFUSED, "path", exchange.path(), "reason", "stopping");
       exchange.sendError(
           ApiError.unavailable("stopping", "this process is stopping; use another one", 0),
-          RETRY_ELSEWHERE_NOW);
+          RETRY_IMMEDIATELY);
       return;
     }
     handler.accept(exchange);
--- a/serving/src/main/java/io/pathdeck/serving/http/ServerPhase.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/ServerPhase.java
@@ -5,7 +5,7 @@
   /** Takes connections and requests. */
   SERVING,
   /** Takes both still, but asks callers to close each connection after its next response. */
-  LEAVING,
+  CLOSING_CONNECTIONS,
   /**
    * Takes no connections, refuses new requests as not run and closes a connection once all that was
    * read of it is answered.
--- a/serving/src/main/java/io/pathdeck/serving/routing/EngineHealth.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/EngineHealth.java
@@ -9,7 +9,7 @@
   private int consecutiveFailures;
   private int ejections;
   private long ejectedUntilMs;
-  private int allowance = Integer.MAX_VALUE;
+  private int concurrencyLimit = Integer.MAX_VALUE;
 
   EngineHealth(RoutingSettings settings) {
     this.settings = settings;
@@ -20,16 +20,16 @@
   }
 
   /** The most requests the engine may have in flight while it proves itself. */
-  int allowance() {
-    return allowance;
+  int concurrencyLimit() {
+    return concurrencyLimit;
   }
 
   void onSuccess() {
     consecutiveFailures = 0;
-    if (allowance != Integer.MAX_VALUE) {
-      allowance = allowance * 2;
-      if (allowance > settings.maxInFlightPerEngine()) {
-        allowance = Integer.MAX_VALUE;
+    if (concurrencyLimit != Integer.MAX_VALUE) {
+      concurrencyLimit = concurrencyLimit * 2;
+      if (concurrencyLimit > settings.maxInFlightPerEngine()) {
+        concurrencyLimit = Integer.MAX_VALUE;
         ejections = 0;
       }
     }
@@ -39,7 +39,7 @@
   boolean onFailure(boolean certain, long nowMs) {
     consecutiveFailures++;
     boolean eject = certain || consecutiveFailures >= settings.ejectAfterFailures();
-    boolean provingItself = allowance != Integer.MAX_VALUE;
+    boolean provingItself = concurrencyLimit != Integer.MAX_VALUE;
     if (isEjected(nowMs) || !(eject || provingItself)) {
       return false;
     }
@@ -52,11 +52,11 @@
     ejectedUntilMs = nowMs + Math.min(settings.maxEjectionMs(), length);
     ejections++;
     consecutiveFailures = 0;
-    allowance = 1;
+    concurrencyLimit = 1;
   }
 
   /** Keeps new work away for a while without counting a failure. */
-  void avoidUntil(long untilMs) {
+  void suspendUntil(long untilMs) {
     ejectedUntilMs = Math.max(ejectedUntilMs, untilMs);
   }
 }
--- a/serving/src/main/java/io/pathdeck/serving/routing/EngineSelector.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/EngineSelector.java
@@ -15,7 +15,7 @@
   private static final LongHashFunction HASH = LongHashFunction.xx();
 
   /** The key of the common order in which engines are filled. */
-  private static final long PACKING_ORDER = 1;
+  private static final long PACKING_HASH_KEY = 1;
 
   private final RoutingSettings settings;
   private final String nodeId;
@@ -52,26 +52,27 @@
 
   /** The engine for a request, or null when none is usable. */
   EngineState select(List<EngineState> candidates, long prefixHash, EngineState avoid, long nowMs) {
-    List<EngineState> usable = usable(candidates, avoid, nowMs);
+    List<EngineState> usable = usableEngines(candidates, avoid, nowMs);
     if (usable.isEmpty()) {
       return avoid != null && avoid.isUsable(settings, nowMs) ? avoid : null;
     }
-    List<EngineState> pool = preferZone(usable, nowMs);
-    return firstWithRoom(pool, nowMs).orElseGet(() -> spread(pool, prefixHash, nowMs));
+    List<EngineState> pool = preferLocalZone(usable, nowMs);
+    return firstWithCapacity(pool, nowMs)
+        .orElseGet(() -> selectByAffinity(pool, prefixHash, nowMs));
   }
 
   /**
    * Fills engines one after the other, in an order that all nodes share. So online requests gather
    * on few engines, and the others are idle for batch items, which need no yielding there.
    */
-  private Optional<EngineState> firstWithRoom(List<EngineState> pool, long nowMs) {
+  private Optional<EngineState> firstWithCapacity(List<EngineState> pool, long nowMs) {
     return pool.stream()
-        .filter(engine -> engine.pressure(nowMs) < settings.packLimit())
-        .max(Comparator.comparingLong(engine -> rank(engine.spec.name(), PACKING_ORDER)));
+        .filter(engine -> engine.loadWithPrefills(nowMs) < settings.packingLoadLimit())
+        .max(Comparator.comparingLong(engine -> rank(engine.spec.name(), PACKING_HASH_KEY)));
   }
 
-  private EngineState spread(List<EngineState> pool, long prefixHash, long nowMs) {
-    EngineState preferred = byAffinity(pool, prefixHash);
+  private EngineState selectByAffinity(List<EngineState> pool, long prefixHash, long nowMs) {
+    EngineState preferred = highestRanked(pool, prefixHash);
     double average = pool.stream().mapToInt(engine -> engine.load(nowMs)).average().orElse(0);
     if (preferred.load(nowMs) <= average * settings.affinityLoadFactor() + 1) {
       return preferred;
@@ -79,7 +80,8 @@
     return lessLoadedOfTwo(pool, nowMs);
   }
 
-  private List<EngineState> usable(List<EngineState> candidates, EngineState avoid, long nowMs) {
+  private List<EngineState> usableEngines(
+      List<EngineState> candidates, EngineState avoid, long nowMs) {
     List<EngineState> usable = new ArrayList<>();
     for (EngineState engine : candidates) {
       if (engine != avoid && engine.isUsable(settings, nowMs)) {
@@ -90,7 +92,7 @@
   }
 
   /** The own zone's engines, unless those of other zones are clearly less loaded. */
-  private List<EngineState> preferZone(List<EngineState> usable, long nowMs) {
+  private List<EngineState> preferLocalZone(List<EngineState> usable, long nowMs) {
     List<EngineState> local = new ArrayList<>();
     for (EngineState engine : usable) {
       if (engine.spec.zone().equals(zone)) {
@@ -100,16 +102,16 @@
     if (local.isEmpty() || local.size() == usable.size()) {
       return usable;
     }
-    int bestLocal = leastLoad(local, nowMs);
-    int bestOfAll = leastLoad(usable, nowMs);
-    return bestLocal - bestOfAll >= settings.spillDifference() ? usable : local;
+    int bestLocal = minLoad(local, nowMs);
+    int bestOfAll = minLoad(usable, nowMs);
+    return bestLocal - bestOfAll >= settings.spillOverLoadDifference() ? usable : local;
   }
 
-  private static int leastLoad(List<EngineState> engines, long nowMs) {
+  private static int minLoad(List<EngineState> engines, long nowMs) {
     return engines.stream().mapToInt(engine -> engine.load(nowMs)).min().orElse(0);
   }
 
-  private static EngineState byAffinity(List<EngineState> engines, long prefixHash) {
+  private static EngineState highestRanked(List<EngineState> engines, long prefixHash) {
     EngineState best = engines.get(0);
     long bestRank = Long.MIN_VALUE;
     for (EngineState engine : engines) {
--- a/serving/src/main/java/io/pathdeck/serving/routing/EngineState.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/EngineState.java
@@ -6,16 +6,16 @@
 
 /** What a node knows of one engine. */
 final class EngineState {
-  private static final long LOAD_VALID_MS = 1_000;
+  private static final long LOAD_EXPIRY_MS = 1_000;
 
-  private static final long PROMPT_MS = 80;
-  private static final int PROMPT_WEIGHT = 1;
+  private static final long PREFILL_MS = 80;
+  private static final int PREFILL_WEIGHT = 1;
 
   EngineSpec spec;
   final EngineHealth health;
   int inFlight;
   boolean leaving;
-  private EngineLoad reported = new EngineLoad(0, 0, 0);
+  private EngineLoad reportedLoad = new EngineLoad(0, 0, 0);
   private final ArrayDeque<Long> recentStartsMs = new ArrayDeque<>();
   private int inFlightAtReport;
   private long reportedAtMs = Long.MIN_VALUE / 2;
@@ -26,7 +26,7 @@
   }
 
   void onLoad(EngineLoad load, long nowMs) {
-    reported = load;
+    reportedLoad = load;
     inFlightAtReport = inFlight;
     reportedAtMs = nowMs;
   }
@@ -36,11 +36,11 @@
    * since, or this node's own count when the report is old.
    */
   int load(long nowMs) {
-    if (nowMs - reportedAtMs > LOAD_VALID_MS) {
+    if (nowMs - reportedAtMs > LOAD_EXPIRY_MS) {
       return inFlight;
     }
     int correction = inFlight - inFlightAtReport;
-    return Math.max(inFlight, reported.online() + reported.waiting() + correction);
+    return Math.max(inFlight, reportedLoad.online() + reportedLoad.waiting() + correction);
   }
 
   /** A request was started on the engine. */
@@ -50,17 +50,17 @@
   }
 
   /** The load, counting requests whose prompt is probably still being read several times. */
-  int pressure(long nowMs) {
-    while (!recentStartsMs.isEmpty() && nowMs - recentStartsMs.peekFirst() > PROMPT_MS) {
+  int loadWithPrefills(long nowMs) {
+    while (!recentStartsMs.isEmpty() && nowMs - recentStartsMs.peekFirst() > PREFILL_MS) {
       recentStartsMs.pollFirst();
     }
-    return load(nowMs) + PROMPT_WEIGHT * recentStartsMs.size();
+    return load(nowMs) + PREFILL_WEIGHT * recentStartsMs.size();
   }
 
   boolean isUsable(RoutingSettings settings, long nowMs) {
     return !spec.draining()
         && !leaving
         && !health.isEjected(nowMs)
-        && inFlight < Math.min(settings.maxInFlightPerEngine(), health.allowance());
+        && inFlight < Math.min(settings.maxInFlightPerEngine(), health.concurrencyLimit());
   }
 }
--- a/serving/src/main/java/io/pathdeck/serving/routing/RoutingCore.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/RoutingCore.java
@@ -20,8 +20,8 @@
  * not, it may go to another engine. If it may have, it may only when the caller allowed repeats.
  */
 public final class RoutingCore {
-  private static final long FULL_RETRY_AFTER_MS = 1_000;
-  private static final long LEAVING_FORGET_MS = 10_000;
+  private static final long RETRY_AFTER_MS = 1_000;
+  private static final long LEAVING_EXPIRY_MS = 10_000;
 
   private static final class ActiveRequest {
     final RoutableRequest request;
@@ -29,7 +29,7 @@
     EngineState engine;
 
     /** The engine of the last failed attempt, avoided if there is another. */
-    EngineState avoid;
+    EngineState lastFailedEngine;
 
     ActiveRequest(RoutableRequest request) {
       this.request = request;
@@ -94,13 +94,14 @@
   }
 
   private static List<RoutingDecision> refuse(RoutableRequest request, RefusalReason reason) {
-    return List.of(new RoutingDecision.Refuse(request.requestId(), reason, FULL_RETRY_AFTER_MS));
+    return List.of(new RoutingDecision.Refuse(request.requestId(), reason, RETRY_AFTER_MS));
   }
 
   private List<RoutingDecision> startAttempt(ActiveRequest entry, long nowMs) {
     RoutableRequest request = entry.request;
     List<EngineState> candidates = candidatesByService.getOrDefault(request.service(), List.of());
-    EngineState engine = selector.select(candidates, request.prefixHash(), entry.avoid, nowMs);
+    EngineState engine =
+        selector.select(candidates, request.prefixHash(), entry.lastFailedEngine, nowMs);
     if (engine == null) {
       finish(entry);
       boolean anyAlive =
@@ -117,7 +118,7 @@
 
   /** The running attempt has delivered the whole answer. */
   public void onCompleted(long requestId, int attempt) {
-    ActiveRequest entry = current(requestId, attempt);
+    ActiveRequest entry = runningRequest(requestId, attempt);
     if (entry != null) {
       entry.engine.health.onSuccess();
       finish(entry);
@@ -131,15 +132,15 @@
    */
   public List<RoutingDecision> onFailed(
       long requestId, int attempt, AttemptFailure failure, boolean started, long nowMs) {
-    ActiveRequest entry = current(requestId, attempt);
+    ActiveRequest entry = runningRequest(requestId, attempt);
     if (entry == null) {
       return List.of();
     }
     EngineState engine = entry.engine;
     engine.inFlight--;
     entry.engine = null;
-    entry.avoid = engine;
-    noteFailure(engine, failure, nowMs);
+    entry.lastFailedEngine = engine;
+    recordFailure(engine, failure, nowMs);
     boolean mayHaveRun = started || failure.mayHaveRun();
     if (mayHaveRun && !entry.request.repeatable()) {
       return fail(entry, FailureReason.OUTCOME_UNKNOWN, true);
@@ -151,7 +152,7 @@
     if (retry) {
       List<RoutingDecision> decisions = startAttempt(entry, nowMs);
       boolean refused = decisions.get(0) instanceof RoutingDecision.Refuse;
-      return refused && mayHaveRun ? failedAfterStart(entry) : decisions;
+      return refused && mayHaveRun ? attemptsExhausted(entry) : decisions;
     }
     if (mayHaveRun) {
       return fail(entry, FailureReason.ATTEMPTS_EXHAUSTED, true);
@@ -160,19 +161,19 @@
     return refuse(entry.request, RefusalReason.ENGINES_FULL);
   }
 
-  private static List<RoutingDecision> failedAfterStart(ActiveRequest entry) {
+  private static List<RoutingDecision> attemptsExhausted(ActiveRequest entry) {
     return List.of(
         new RoutingDecision.Fail(
             entry.request.requestId(), FailureReason.ATTEMPTS_EXHAUSTED, true));
   }
 
-  private void noteFailure(EngineState engine, AttemptFailure failure, long nowMs) {
+  private void recordFailure(EngineState engine, AttemptFailure failure, long nowMs) {
     if (failure instanceof AttemptFailure.Refused refused) {
       if (refused.leaving()) {
         engine.leaving = true;
         leavingSinceMs.put(engine, nowMs);
       } else {
-        engine.health.avoidUntil(nowMs + Math.min(refused.retryAfterMs(), FULL_RETRY_AFTER_MS));
+        engine.health.suspendUntil(nowMs + Math.min(refused.retryAfterMs(), RETRY_AFTER_MS));
       }
       return;
     }
@@ -210,7 +211,7 @@
 
   /** Lets deadlines act. */
   public List<RoutingDecision> poll(long nowMs) {
-    forgetLeaving(nowMs);
+    expireLeaving(nowMs);
     List<ActiveRequest> late = new ArrayList<>();
     for (ActiveRequest entry : active.values()) {
       if (nowMs >= entry.request.deadlineMs()) {
@@ -227,18 +228,18 @@
   }
 
   /** An engine that said it was leaving is asked again after a while: it may have come back. */
-  private void forgetLeaving(long nowMs) {
+  private void expireLeaving(long nowMs) {
     Iterator<Map.Entry<EngineState, Long>> iterator = leavingSinceMs.entrySet().iterator();
     while (iterator.hasNext()) {
       Map.Entry<EngineState, Long> entry = iterator.next();
-      if (nowMs - entry.getValue() >= LEAVING_FORGET_MS) {
+      if (nowMs - entry.getValue() >= LEAVING_EXPIRY_MS) {
         entry.getKey().leaving = false;
         iterator.remove();
       }
     }
   }
 
-  private ActiveRequest current(long requestId, int attempt) {
+  private ActiveRequest runningRequest(long requestId, int attempt) {
     ActiveRequest entry = active.get(requestId);
     boolean matches = entry != null && entry.attempts == attempt && entry.engine != null;
     return matches ? entry : null;
--- a/serving/src/main/java/io/pathdeck/serving/routing/RoutingSettings.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/RoutingSettings.java
@@ -6,9 +6,10 @@
  * @param maxAttempts the most attempts of one request
  * @param maxInFlightPerEngine the most online requests of this node on one engine
  * @param candidateCount how many engines of a service a node uses when there are many
- * @param packLimit up to which pressure an engine is filled before the next one is used
+ * @param packingLoadLimit up to which pressure an engine is filled before the next one is used
  * @param affinityLoadFactor how far above the average an engine's load may be for prefix affinity
- * @param spillDifference by how many requests the best engine of another zone must be less loaded
+ * @param spillOverLoadDifference by how many requests the best engine of another zone must be less
+ *     loaded
  * @param ejectAfterFailures consecutive failures that eject an engine
  * @param minEjectionMs the first ejection's length; it doubles with each further one
  * @param maxEjectionMs the longest ejection
@@ -19,9 +20,9 @@
     int maxAttempts,
     int maxInFlightPerEngine,
     int candidateCount,
-    int packLimit,
+    int packingLoadLimit,
     double affinityLoadFactor,
-    int spillDifference,
+    int spillOverLoadDifference,
     int ejectAfterFailures,
     long minEjectionMs,
     long maxEjectionMs,
--- a/serving/src/main/java/io/pathdeck/serving/routing/TenantLimiter.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/TenantLimiter.java
@@ -12,8 +12,8 @@
   private static final class Usage {
     double tokens;
     long refilledAtMs;
-    int concurrent;
-    boolean started;
+    int activeRequests;
+    boolean initialized;
   }
 
   private final Map<String, Usage> usages = new HashMap<>();
@@ -21,25 +21,25 @@
   /** Counts a request in, or says why it is refused. */
   Optional<RefusalReason> admit(TenantSpec tenant, int liveNodes, long nowMs) {
     Usage usage = usages.computeIfAbsent(tenant.name(), key -> new Usage());
-    int concurrencyLimit = share(tenant.maxConcurrentRequests(), liveNodes);
-    if (concurrencyLimit > 0 && usage.concurrent >= concurrencyLimit) {
+    int concurrencyLimit = nodeShare(tenant.maxConcurrentRequests(), liveNodes);
+    if (concurrencyLimit > 0 && usage.activeRequests >= concurrencyLimit) {
       return Optional.of(RefusalReason.CONCURRENCY_LIMITED);
     }
-    int rateLimit = share(tenant.requestsPerSecond(), liveNodes);
+    int rateLimit = nodeShare(tenant.requestsPerSecond(), liveNodes);
     if (rateLimit > 0 && !takeToken(usage, rateLimit, nowMs)) {
       return Optional.of(RefusalReason.RATE_LIMITED);
     }
-    usage.concurrent++;
+    usage.activeRequests++;
     return Optional.empty();
   }
 
-  private static int share(int limit, int liveNodes) {
+  private static int nodeShare(int limit, int liveNodes) {
     return limit == 0 ? 0 : Math.max(1, (limit + liveNodes - 1) / liveNodes);
   }
 
   private static boolean takeToken(Usage usage, int rate, long nowMs) {
-    if (!usage.started) {
-      usage.started = true;
+    if (!usage.initialized) {
+      usage.initialized = true;
       usage.tokens = rate;
       usage.refilledAtMs = nowMs;
     }
@@ -56,7 +56,7 @@
   void release(String tenant) {
     Usage usage = usages.get(tenant);
     if (usage != null) {
-      usage.concurrent--;
+      usage.activeRequests--;
     }
   }
 }
--- a/serving/src/test/java/io/pathdeck/serving/engine/TestHttpEngineClient.java
+++ b/serving/src/test/java/io/pathdeck/serving/engine/TestHttpEngineClient.java
@@ -67,25 +67,25 @@
 
   @ParameterizedTest
   @ValueSource(ints = {400, 429, 500, 503})
-  void failureOfAnEarlierAttemptProvesNothing(int status) throws Exception {
+  void errorNamingEarlierAttemptIsBroken(int status) throws Exception {
     assertThat(failure(status, EARLIER_ATTEMPT)).isInstanceOf(AttemptFailure.Broken.class);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {400, 429, 500, 503})
-  void failureThatNamesNoAttemptProvesNothing(int status) throws Exception {
+  void errorNamingNoAttemptIsBroken(int status) throws Exception {
     assertThat(failure(status, null)).isInstanceOf(AttemptFailure.Broken.class);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {429, 503})
-  void refusalOfThisAttemptIsOne(int status) throws Exception {
+  void refusalNamingThisAttemptIsRefused(int status) throws Exception {
     assertThat(failure(status, ATTEMPT)).isInstanceOf(AttemptFailure.Refused.class);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {400, 422})
-  void invalidAttemptIsOne(int status) throws Exception {
+  void clientErrorNamingThisAttemptIsInvalid(int status) throws Exception {
     assertThat(failure(status, ATTEMPT)).isInstanceOf(AttemptFailure.Invalid.class);
   }
 
--- a/serving/src/test/java/io/pathdeck/serving/engine/TestSseReader.java
+++ b/serving/src/test/java/io/pathdeck/serving/engine/TestSseReader.java
@@ -23,41 +23,41 @@
       ": accepted\n\n" + token(1) + token(2) + token(3) + "data: [DONE]\n\n";
 
   @Property(tries = 200, seed = "31")
-  void anySplitGivesTheSameEvents(@ForAll @IntRange(min = 1, max = 80) int size) {
+  void producesSameEventsForAnySplit(@ForAll @IntRange(min = 1, max = 80) int size) {
     SseReader reader = new SseReader(0);
     StringBuilder events = new StringBuilder();
     int tokens = 0;
     byte[] stream = bytes(STREAM);
     for (int at = 0; at < stream.length; at += size) {
-      reader.feed(Arrays.copyOfRange(stream, at, Math.min(stream.length, at + size)));
+      reader.read(Arrays.copyOfRange(stream, at, Math.min(stream.length, at + size)));
       events.append(new String(reader.events(), StandardCharsets.UTF_8));
       tokens += reader.tokens();
     }
     assertThat(tokens).isEqualTo(3);
-    assertThat(reader.isDone()).isTrue();
+    assertThat(reader.hasEndMarker()).isTrue();
     assertThat(reader.problem()).isNull();
     assertThat(events.toString()).contains("{\"token\":1}").doesNotContain("id:");
   }
 
   @Test
-  void noticesGapsAndRepeats() {
+  void reportsGapsAndRepeats() {
     for (String wrong : new String[] {token(1) + token(3), token(1) + token(1), token(2)}) {
       SseReader reader = new SseReader(0);
-      reader.feed(bytes(wrong));
+      reader.read(bytes(wrong));
       assertThat(reader.problem()).as(wrong).isNotNull();
     }
   }
 
   @Test
-  void resumesAfterTheOffsetHeld() {
+  void resumesAfterGivenOffset() {
     SseReader reader = new SseReader(7);
-    reader.feed(bytes(token(8)));
+    reader.read(bytes(token(8)));
     assertThat(reader.problem()).isNull();
-    assertThat(reader.isDone()).isFalse();
+    assertThat(reader.hasEndMarker()).isFalse();
   }
 
   @Property(tries = 300, seed = "32")
-  void anyBytesAreHandled(@ForAll byte[] noise) {
-    new SseReader(0).feed(noise);
+  void acceptsArbitraryBytes(@ForAll byte[] noise) {
+    new SseReader(0).read(noise);
   }
 }
--- a/serving/src/test/java/io/pathdeck/serving/http/TestExchangeHandler.java
+++ b/serving/src/test/java/io/pathdeck/serving/http/TestExchangeHandler.java
@@ -28,7 +28,7 @@
     return Unpooled.copiedBuffer(head + "x".repeat(sent), StandardCharsets.UTF_8);
   }
 
-  private static String answer(EmbeddedChannel channel) {
+  private static String readResponse(EmbeddedChannel channel) {
     channel.runPendingTasks();
     StringBuilder text = new StringBuilder();
     for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
@@ -39,22 +39,25 @@
   }
 
   @Test
-  void refusesABodyThatIsTooLarge() {
+  void refusesTooLargeBody() {
     EmbeddedChannel channel = connect(new BodyBudget(10_000));
     channel.writeInbound(post("/v1/batches", 101, 0));
-    assertThat(answer(channel)).contains("413").contains("request_too_large");
+    assertThat(readResponse(channel)).contains("413").contains("request_too_large");
     assertThat(dispatched).isEmpty();
   }
 
   /** The failure behind it: one upload of 42 MB ended a node for want of memory. */
   @Test
-  void refusesMoreThanTheServerCanHold() {
+  void refusesBodiesBeyondServerBudget() {
     BodyBudget budget = new BodyBudget(1_500);
     EmbeddedChannel first = connect(budget);
     first.writeInbound(post("/v1/files", 1_000, 900));
     EmbeddedChannel second = connect(budget);
     second.writeInbound(post("/v1/files", 900, 900));
-    assertThat(answer(second)).contains("503").contains("\"not_run\":true").contains("retry-after");
+    assertThat(readResponse(second))
+        .contains("503")
+        .contains("\"not_run\":true")
+        .contains("retry-after");
     first.close();
     EmbeddedChannel third = connect(budget);
     third.writeInbound(post("/v1/files", 900, 900));
--- a/serving/src/test/java/io/pathdeck/serving/http/TestServerStop.java
+++ b/serving/src/test/java/io/pathdeck/serving/http/TestServerStop.java
@@ -26,7 +26,7 @@
 class TestServerStop {
   private static final HttpLimits LIMITS = new HttpLimits(8_192, 1_000, 1_000, 10, 30_000);
   private static final long DRAIN_MS = 5_000;
-  private static final String WHOLE = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
+  private static final String REQUEST = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
   private final EventLoopGroup eventLoops = EventLoops.create(1);
   private final BlockingQueue<HttpExchange> dispatched = new LinkedBlockingQueue<>();
@@ -72,9 +72,9 @@
   }
 
   @Test
-  void idleConnectionIsClosedAndTheDrainEnds() throws Exception {
+  void drainClosesIdleConnection() throws Exception {
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       nextRequest().sendJson(200, new byte[] {'{', '}'});
       CompletableFuture<Boolean> drained = drain();
       assertThat(readAll(socket)).startsWith("HTTP/1.1 200");
@@ -83,9 +83,9 @@
   }
 
   @Test
-  void requestInProgressIsAnsweredBeforeItsConnectionIsClosed() throws Exception {
+  void drainWaitsForRequestInProgress() throws Exception {
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       HttpExchange exchange = nextRequest();
       CompletableFuture<Boolean> drained = drain();
       Thread.sleep(200);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void requestReadInPartIsRefusedAsNotRunOnceItIsWhole() throws Exception {
+  void drainRefusesPartlyReadRequestAsNotRun() throws Exception {
     try (Socket socket = connect()) {
       send(socket, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab");
       Thread.sleep(200);
@@ -114,9 +114,9 @@
   }
 
   @Test
-  void callersAreAskedToCloseConnectionsOnceTheServerLeaves() throws Exception {
+  void closesConnectionsAfterResponses() throws Exception {
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       HttpExchange exchange = nextRequest();
       server.closeConnectionsAfterResponses();
       eventLoops.next().submit(() -> {}).sync();
@@ -124,14 +124,14 @@
       assertThat(readAll(socket)).contains("connection: close");
     }
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       nextRequest().sendJson(200, new byte[] {'{', '}'});
       assertThat(readAll(socket)).startsWith("HTTP/1.1 200").contains("connection: close");
     }
   }
 
   @Test
-  void drainGivesUpOnACallerThatNeverEndsItsRequest() throws Exception {
+  void drainTimesOutOnIncompleteRequest() throws Exception {
     try (Socket socket = connect()) {
       send(socket, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab");
       Thread.sleep(200);
--- a/testkit/src/main/java/io/pathdeck/testkit/engine/EmulatedEngine.java
+++ b/testkit/src/main/java/io/pathdeck/testkit/engine/EmulatedEngine.java
@@ -186,7 +186,7 @@
             call.answerTokens(),
             call.resumeAfter(),
             stream);
-    exchange.onVanished(
+    exchange.setDisconnectListener(
         () ->
             command(
                 () -> {
--- a/testkit/src/main/java/io/pathdeck/testkit/sim/HarmCommand.java
+++ b/testkit/src/main/java/io/pathdeck/testkit/sim/HarmCommand.java
@@ -63,10 +63,10 @@
         options.has(alongside)
             ? new DispatchPolicy(
                 options.valueOf(alongside),
-                d.quietMs(),
+                d.onlineIdleMs(),
                 d.windowStep(),
                 d.windowStepMs(),
-                d.loadValidMs(),
+                d.loadExpiryMs(),
                 d.probeIntervalMs(),
                 d.backlogIntervalMs(),
                 d.lookahead(),
--- a/testkit/src/main/java/io/pathdeck/testkit/sim/SimNode.java
+++ b/testkit/src/main/java/io/pathdeck/testkit/sim/SimNode.java
@@ -159,7 +159,7 @@
         claim,
         generation,
         writer,
-        new ClaimService.Outcome() {
+        new ClaimService.ClaimListener() {
           @Override
           public void granted(ResponseWriter claimedWriter) {
             route(routable, generation, claimedWriter);
