--- a/dispatch/src/main/java/io/pathdeck/dispatch/DispatchCore.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/DispatchCore.java
@@ -19,8 +19,8 @@
 import java.util.TreeMap;
 
 /**
- * The dispatcher's decisions: whose items to lease, which engine runs them, and which must yield.
- * Pure: time and events come in, decisions go out.
+ * Decides on the leasing, placement and preemption of items. Pure: inputs are events and the time,
+ * outputs are decisions.
  */
 public final class DispatchCore {
   private static final int ESTIMATED_ITEM_TOKENS = 64;
@@ -43,12 +43,12 @@
   private record BacklogKey(int partition, String service) {}
 
   private final DispatchPolicy policy;
-  private final FairShares shares = new FairShares();
+  private final TenantFairQueue fairQueue = new TenantFairQueue();
   private final Map<String, EngineWindow> engines = new LinkedHashMap<>();
   private final Map<ItemKey, Item> items = new LinkedHashMap<>();
-  private final Map<String, ArrayDeque<Item>> ready = new HashMap<>();
-  private final Map<BacklogKey, Map<String, Integer>> waiting = new TreeMap<>(BACKLOG_ORDER);
-  private final Map<BacklogKey, Boolean> leasing = new HashMap<>();
+  private final Map<String, ArrayDeque<Item>> readyQueues = new HashMap<>();
+  private final Map<BacklogKey, Map<String, Integer>> backlogs = new TreeMap<>(BACKLOG_ORDER);
+  private final Map<BacklogKey, Boolean> pendingLeases = new HashMap<>();
   private ConfigurationView configuration = ConfigurationView.EMPTY;
   private boolean stopping;
   private long nextBacklogMs;
@@ -60,10 +60,10 @@
     this.policy = policy;
   }
 
-  /** Takes a new configuration. */
+  /** Applies a new configuration; engines keep their windows. */
   public void onConfiguration(ConfigurationView view) {
     configuration = view;
-    shares.onConfiguration(view);
+    fairQueue.onConfiguration(view);
     Map<String, EngineWindow> previous = new HashMap<>(engines);
     engines.clear();
     for (EngineSpec spec : view.engines()) {
@@ -76,24 +76,24 @@
     }
   }
 
-  /** No more items are leased or started. */
+  /** Stops leasing and starting items. */
   public void stop() {
     stopping = true;
   }
 
-  /** The number of items that run. */
-  public int running() {
+  /** Returns the number of running items. */
+  public int runningItems() {
     return (int) items.values().stream().filter(item -> item.engine != null).count();
   }
 
-  /** The items that are held, running or not. */
-  public Set<ItemKey> held() {
+  /** Returns all leased items, running or waiting. */
+  public Set<ItemKey> heldItems() {
     return items.keySet();
   }
 
   // ---- backlog and leases
 
-  /** A partition told how much work waits. */
+  /** Handles a partition's backlog. */
   public void onBacklog(int partition, String service, List<TenantBacklog> backlog) {
     Map<String, Integer> counts = new TreeMap<>();
     for (TenantBacklog tenant : backlog) {
@@ -101,31 +101,31 @@
         counts.put(tenant.tenant(), tenant.waiting());
       }
     }
-    waiting.put(new BacklogKey(partition, service), counts);
+    backlogs.put(new BacklogKey(partition, service), counts);
     List<String> tenants = new ArrayList<>();
-    waiting.values().forEach(byTenant -> tenants.addAll(byTenant.keySet()));
+    backlogs.values().forEach(byTenant -> tenants.addAll(byTenant.keySet()));
     items.values().forEach(item -> tenants.add(item.leased.tenant()));
-    shares.onBacklogged(Set.copyOf(tenants));
+    fairQueue.onBacklogged(Set.copyOf(tenants));
   }
 
-  /** A lease call ended; {@code leased} is empty when nothing waited or the call failed. */
+  /** Handles the end of a lease call; {@code leased} is empty if it failed or found no items. */
   public void onLeased(int partition, String service, long leaseId, List<LeasedItem> leased) {
-    leasing.remove(new BacklogKey(partition, service));
+    pendingLeases.remove(new BacklogKey(partition, service));
     for (LeasedItem item : leased) {
       ItemKey key = new ItemKey(partition, leaseId, item.jobId(), item.index());
-      Item held = new Item(key, item, service);
-      items.put(key, held);
-      readyQueue(service).addLast(held);
+      Item entry = new Item(key, item, service);
+      items.put(key, entry);
+      readyQueue(service).addLast(entry);
     }
   }
 
   private ArrayDeque<Item> readyQueue(String service) {
-    return ready.computeIfAbsent(service, key -> new ArrayDeque<>());
+    return readyQueues.computeIfAbsent(service, key -> new ArrayDeque<>());
   }
 
   // ---- engines and items
 
-  /** An engine reported its load. */
+  /** Handles an engine's load report. */
   public List<DispatchDecision> onLoad(String engineName, EngineLoad load, long nowMs) {
     EngineWindow engine = engines.get(engineName);
     List<DispatchDecision> decisions = new ArrayList<>();
@@ -137,11 +137,11 @@
   }
 
   /**
-   * Stops the items that started last; they continue later where they are. An item that must not
-   * run twice keeps its place: what an engine was told to stop may have run on.
+   * Preempts the most recently started items, which resume later. Non-repeatable items are not
+   * preempted, because a cancelled attempt may still have run to its end.
    */
   private void preempt(EngineWindow engine, List<DispatchDecision> decisions) {
-    int excess = engine.excess();
+    int excess = engine.excessItems();
     if (excess == 0) {
       return;
     }
@@ -153,39 +153,39 @@
     }
     for (int i = onEngine.size() - 1; i >= 0 && excess > 0; i--, excess--) {
       Item item = onEngine.get(i);
-      leaveEngine(item);
+      freeSlot(item);
       readyQueue(item.service).addFirst(item);
       decisions.add(new DispatchDecision.PreemptItem(item.key));
     }
   }
 
-  private static void leaveEngine(Item item) {
+  private static void freeSlot(Item item) {
     if (item.engine != null) {
-      item.engine.running--;
+      item.engine.runningItems--;
       item.engine = null;
     }
   }
 
-  /** An item's answer is whole. */
+  /** Handles an item's complete response. */
   public void onCompleted(ItemKey key, int tokens) {
     Item item = items.remove(key);
     if (item != null) {
       if (item.engine != null) {
         item.engine.onSuccess();
       }
-      leaveEngine(item);
-      shares.charge(item.leased.tenant(), tokens - ESTIMATED_ITEM_TOKENS);
+      freeSlot(item);
+      fairQueue.charge(item.leased.tenant(), tokens - ESTIMATED_ITEM_TOKENS);
     }
   }
 
-  /** An item's attempt failed. */
+  /** Handles the failure of an item's attempt. */
   public List<DispatchDecision> onFailed(ItemKey key, AttemptFailure failure, long nowMs) {
     Item item = items.get(key);
     if (item == null || item.engine == null) {
       return List.of();
     }
     EngineWindow engine = item.engine;
-    leaveEngine(item);
+    freeSlot(item);
     if (failure instanceof AttemptFailure.Refused refused) {
       engine.closeUntil(nowMs + refused.retryAfterMs());
     } else if (!(failure instanceof AttemptFailure.Invalid)) {
@@ -211,7 +211,7 @@
     return List.of(new DispatchDecision.FailItem(item.key, code, message));
   }
 
-  /** Items that are no longer this dispatcher's: their lease was lost or their job has ended. */
+  /** Removes items after the loss of their lease or the end of their job. */
   public List<DispatchDecision> onRevoked(
       int partition, Set<Long> lostLeases, Set<String> endedJobs) {
     List<DispatchDecision> decisions = new ArrayList<>();
@@ -227,23 +227,23 @@
       if (item.engine != null) {
         decisions.add(new DispatchDecision.PreemptItem(item.key));
       }
-      leaveEngine(item);
+      freeSlot(item);
       readyQueue(item.service).remove(item);
       iterator.remove();
     }
     return decisions;
   }
 
-  /** Gives up an item without a result, for a dispatcher that stops. */
-  public void forget(ItemKey key) {
+  /** Removes an item without a result, for a stopping dispatcher. */
+  public void discard(ItemKey key) {
     Item item = items.remove(key);
     if (item != null) {
-      leaveEngine(item);
+      freeSlot(item);
       readyQueue(item.service).remove(item);
     }
   }
 
-  /** Lets windows open, starts items and asks for more. */
+  /** Updates windows, starts items, and requests leases and backlogs. */
   public List<DispatchDecision> poll(long nowMs) {
     List<DispatchDecision> decisions = new ArrayList<>();
     for (EngineWindow engine : engines.values()) {
@@ -258,7 +258,7 @@
     }
     for (ServiceSpec service : configuration.services()) {
       startReady(service.name(), nowMs, decisions);
-      leaseMore(service.name(), decisions);
+      leaseItems(service.name(), decisions);
     }
     readBacklogs(nowMs, decisions);
     return decisions;
@@ -268,7 +268,7 @@
     ArrayDeque<Item> queue = readyQueue(service);
     int candidates = queue.size();
     for (int i = 0; i < candidates; i++) {
-      EngineWindow engine = mostFree(service);
+      EngineWindow engine = leastBusyEngine(service);
       if (engine == null) {
         return;
       }
@@ -278,30 +278,30 @@
         continue;
       }
       item.engine = engine;
-      engine.running++;
-      // Items are kept in starting order, so that those that started last yield first.
+      engine.runningItems++;
+      // Keeps items in starting order, so the last started is preempted first.
       items.remove(item.key);
       items.put(item.key, item);
       decisions.add(new DispatchDecision.StartItem(item.key, engine.spec));
     }
   }
 
-  private EngineWindow mostFree(String service) {
+  private EngineWindow leastBusyEngine(String service) {
     EngineWindow best = null;
     for (EngineWindow engine : engines.values()) {
-      boolean usable = engine.spec.service().equals(service) && engine.free() > 0;
-      if (usable && (best == null || engine.running < best.running)) {
+      boolean usable = engine.spec.service().equals(service) && engine.freeSlots() > 0;
+      if (usable && (best == null || engine.runningItems < best.runningItems)) {
         best = engine;
       }
     }
     return best;
   }
 
-  private void leaseMore(String service, List<DispatchDecision> decisions) {
+  private void leaseItems(String service, List<DispatchDecision> decisions) {
     int free = 0;
     for (EngineWindow engine : engines.values()) {
       if (engine.spec.service().equals(service)) {
-        free += engine.free();
+        free += engine.freeSlots();
       }
     }
     if (free == 0) {
@@ -309,42 +309,42 @@
     }
     int wanted = free + policy.lookahead() - readyQueue(service).size();
     while (wanted > 0) {
-      BacklogKey source = chooseSource(service);
-      if (source == null) {
+      BacklogKey backlogKey = chooseBacklog(service);
+      if (backlogKey == null) {
         return;
       }
-      Map<String, Integer> counts = waiting.get(source);
-      String tenant = shares.next(counts.keySet());
-      int count = Math.min(policy.maxLeasePerCall(), Math.min(wanted, counts.get(tenant)));
-      takeFromBacklog(counts, tenant, count);
-      leasing.put(source, true);
-      shares.charge(tenant, (double) count * ESTIMATED_ITEM_TOKENS);
-      decisions.add(new DispatchDecision.Lease(source.partition(), service, tenant, count));
+      Map<String, Integer> waitingByTenant = backlogs.get(backlogKey);
+      String tenant = fairQueue.nextTenant(waitingByTenant.keySet());
+      int count = Math.min(policy.maxLeasePerCall(), Math.min(wanted, waitingByTenant.get(tenant)));
+      reduceBacklog(waitingByTenant, tenant, count);
+      pendingLeases.put(backlogKey, true);
+      fairQueue.charge(tenant, (double) count * ESTIMATED_ITEM_TOKENS);
+      decisions.add(new DispatchDecision.Lease(backlogKey.partition(), service, tenant, count));
       wanted -= count;
     }
   }
 
-  /** The partition, among those without a lease call under way, that serves the next tenant. */
-  private BacklogKey chooseSource(String service) {
+  /** Returns the largest backlog of the next tenant without a pending lease call, or null. */
+  private BacklogKey chooseBacklog(String service) {
     Map<String, BacklogKey> bestByTenant = new TreeMap<>();
-    for (Map.Entry<BacklogKey, Map<String, Integer>> entry : waiting.entrySet()) {
+    for (Map.Entry<BacklogKey, Map<String, Integer>> entry : backlogs.entrySet()) {
       BacklogKey key = entry.getKey();
-      if (!key.service().equals(service) || leasing.containsKey(key)) {
+      if (!key.service().equals(service) || pendingLeases.containsKey(key)) {
         continue;
       }
       for (Map.Entry<String, Integer> count : entry.getValue().entrySet()) {
         BacklogKey best = bestByTenant.get(count.getKey());
-        boolean better = best == null || count.getValue() > waiting.get(best).get(count.getKey());
+        boolean better = best == null || count.getValue() > backlogs.get(best).get(count.getKey());
         if (better) {
           bestByTenant.put(count.getKey(), key);
         }
       }
     }
-    String tenant = shares.next(bestByTenant.keySet());
+    String tenant = fairQueue.nextTenant(bestByTenant.keySet());
     return tenant == null ? null : bestByTenant.get(tenant);
   }
 
-  private static void takeFromBacklog(Map<String, Integer> counts, String tenant, int count) {
+  private static void reduceBacklog(Map<String, Integer> counts, String tenant, int count) {
     int left = counts.get(tenant) - count;
     if (left > 0) {
       counts.put(tenant, left);
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
@@ -2,7 +2,7 @@
 
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
-import io.pathdeck.serving.http.HeldMemory;
+import io.pathdeck.serving.http.ConnectionMemory;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -38,7 +38,7 @@
   }
 
   /** Opens an empty reservation for one connection. */
-  HeldMemory open() {
+  ConnectionMemory open() {
     return new Reservation();
   }
 
@@ -87,7 +87,7 @@
   }
 
   private void notifyOwner(EvictedReservation evicted) {
-    recordBudgetReached(evicted.tenant(), evicted.bytes(), evicted.owner().giveUp());
+    recordBudgetReached(evicted.tenant(), evicted.bytes(), evicted.owner().evict());
   }
 
   private void recordBudgetReached(String tenant, long bytes, boolean rejected) {
@@ -119,13 +119,13 @@
   }
 
   /** The state of a reservation before its eviction, to notify its owner. */
-  private record EvictedReservation(String tenant, long bytes, HeldMemory.Owner owner) {}
+  private record EvictedReservation(String tenant, long bytes, ConnectionMemory.Owner owner) {}
 
   /**
    * The memory of one connection. After an eviction it refuses further bytes until {@link
    * #releaseAll}.
    */
-  private final class Reservation implements HeldMemory {
+  private final class Reservation implements ConnectionMemory {
     private String tenant = "";
     private Owner owner;
     private long bodyBytes;
@@ -137,12 +137,12 @@
     }
 
     @Override
-    public boolean countsAnswers() {
+    public boolean limitsResponses() {
       return true;
     }
 
     @Override
-    public boolean tryHoldBody(long bytes) {
+    public boolean tryReserveBody(long bytes) {
       if (evicted) {
         return false;
       }
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public boolean tryHoldAnswer(long bytes) {
+    public boolean tryReserveResponse(long bytes) {
       if (evicted) {
         return false;
       }
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void releaseAnswer(long bytes) {
+    public void releaseResponse(long bytes) {
       long released = Math.min(bytes, answerBytes);
       answerBytes -= released;
       applyChange(this, -released);
@@ -204,13 +204,13 @@
     }
 
     @Override
-    public void belongTo(String newTenant, Owner newOwner) {
+    public void setOwner(String newTenant, Owner newOwner) {
       tenant = newTenant;
       owner = newOwner;
     }
 
     @Override
-    public void cannotBeGivenUp() {
+    public void disableEviction() {
       owner = null;
     }
   }
--- a/serving/src/main/java/io/pathdeck/serving/config/ConfigurationFollower.java
+++ b/serving/src/main/java/io/pathdeck/serving/config/ConfigurationFollower.java
@@ -15,18 +15,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps a process's configuration current and holds its lease.
+ * Updates a process's configuration and renews its lease.
  *
- * <p>The lease runs from the moment a heartbeat was <em>sent</em>, so a process that was frozen or
- * cut off knows that its configuration may be out of date. Only higher versions are taken.
+ * <p>The lease period starts when the heartbeat is <em>sent</em>, so after a pause or a network
+ * partition the process detects a possibly stale configuration. Lower versions are ignored.
  */
 public final class ConfigurationFollower implements Duty {
   private static final EventLog EVENTS = EventLog.of(ConfigurationFollower.class);
   private static final long HEARTBEAT_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(500);
   private static final long MAX_IDLE_NS = TimeUnit.MILLISECONDS.toNanos(100);
-  private static final long CALL_TIMEOUT_MS = 2_000;
+  private static final long HEARTBEAT_TIMEOUT_MS = 2_000;
 
-  private record Answer(long sentAtNs, Result<ConfigurationUpdate, ControlError> result) {}
+  private record HeartbeatResponse(
+      long sentAtNs, Result<ConfigurationUpdate, ControlError> result) {}
 
   private final String processId;
   private final String role;
@@ -35,37 +36,37 @@
   private final BoundedRing<Object> ring = new BoundedRing<>(16);
   private final DeclarationStore store = new DeclarationStore();
   private final Section<ConfigurationView> section = new Section<>(ConfigurationView.EMPTY);
-  private volatile long leaseUntilNs;
-  private boolean hadLease;
-  private boolean waiting;
+  private volatile long leaseExpiresAtNs;
+  private boolean loggedLease;
+  private boolean heartbeatPending;
   private long nextHeartbeatNs;
 
   /**
    * Creates a follower without a lease.
    *
-   * @param clockNs the monotonic clock, also read by other threads
+   * @param clockNs the monotonic clock; must be thread-safe
    */
   public ConfigurationFollower(
       String processId, String role, ControlPlane controllers, LongSupplier clockNs) {
     this.clockNs = clockNs;
-    this.leaseUntilNs = clockNs.getAsLong() - 1;
+    this.leaseExpiresAtNs = clockNs.getAsLong() - 1;
     this.nextHeartbeatNs = clockNs.getAsLong();
     this.processId = processId;
     this.role = role;
     this.controllers = controllers;
   }
 
-  /** The configuration in force, as far as this process knows. */
+  /** Returns the last known configuration. */
   public Section<ConfigurationView> section() {
     return section;
   }
 
-  /** Whether the configuration may still be acted on. */
+  /** Returns whether the configuration's lease is valid. */
   public boolean hasLease() {
-    return leaseUntilNs - clockNs.getAsLong() > 0;
+    return leaseExpiresAtNs - clockNs.getAsLong() > 0;
   }
 
-  /** The ring the duty's thread waits on. */
+  /** Returns the ring that wakes the duty's thread. */
   public BoundedRing<Object> ring() {
     return ring;
   }
@@ -77,35 +78,35 @@
 
   @Override
   public int doWork(long nowNs) {
-    int work = ring.drain(item -> onAnswer((Answer) item), 16);
-    if (!waiting && nowNs - nextHeartbeatNs >= 0) {
+    int work = ring.drain(item -> onHeartbeatResponse((HeartbeatResponse) item), 16);
+    if (!heartbeatPending && nowNs - nextHeartbeatNs >= 0) {
       sendHeartbeat(nowNs);
       work++;
     }
-    reportLease();
+    logLeaseChange();
     return work;
   }
 
   private void sendHeartbeat(long nowNs) {
-    waiting = true;
+    heartbeatPending = true;
     nextHeartbeatNs = nowNs + HEARTBEAT_INTERVAL_NS;
     ConfigurationHeartbeat heartbeat =
         new ConfigurationHeartbeat(processId, role, store.version(), store.digest());
     controllers
-        .heartbeat(heartbeat, CALL_TIMEOUT_MS)
-        .thenAccept(result -> ring.offer(new Answer(nowNs, result)));
+        .heartbeat(heartbeat, HEARTBEAT_TIMEOUT_MS)
+        .thenAccept(result -> ring.offer(new HeartbeatResponse(nowNs, result)));
   }
 
-  private void onAnswer(Answer answer) {
-    waiting = false;
-    if (!answer.result().isOk()) {
+  private void onHeartbeatResponse(HeartbeatResponse response) {
+    heartbeatPending = false;
+    if (!response.result().isOk()) {
       return;
     }
-    ConfigurationUpdate update = answer.result().value();
+    ConfigurationUpdate update = response.result().value();
     if (update.version() < store.version()) {
       return;
     }
-    boolean changed = takeDelta(update);
+    boolean changed = applyDelta(update);
     boolean current = store.version() == update.version() && store.digest() == update.digest();
     if (!current) {
       store.clear();
@@ -120,10 +121,10 @@
           new ConfigurationView(
               store.version(), store.declaration(), update.partitions(), update.liveNodes()));
     }
-    leaseUntilNs = answer.sentAtNs() + TimeUnit.MILLISECONDS.toNanos(update.leaseMs());
+    leaseExpiresAtNs = response.sentAtNs() + TimeUnit.MILLISECONDS.toNanos(update.leaseMs());
   }
 
-  private boolean takeDelta(ConfigurationUpdate update) {
+  private boolean applyDelta(ConfigurationUpdate update) {
     if (update.delta() == null) {
       return false;
     }
@@ -138,12 +139,12 @@
     return true;
   }
 
-  private void reportLease() {
-    boolean has = hasLease();
-    if (has != hadLease) {
-      hadLease = has;
+  private void logLeaseChange() {
+    boolean leaseValid = hasLease();
+    if (leaseValid != loggedLease) {
+      loggedLease = leaseValid;
       EVENTS.log(
-          has ? EventCode.CONFIGURATION_LEASE_RENEWED : EventCode.CONFIGURATION_LEASE_LAPSED,
+          leaseValid ? EventCode.CONFIGURATION_LEASE_RENEWED : EventCode.CONFIGURATION_LEASE_LAPSED,
           "version",
           store.version());
     }
--- a/serving/src/main/java/io/pathdeck/serving/http/BodyBudget.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/BodyBudget.java
@@ -3,45 +3,45 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds the bytes of request bodies that a server holds at a time, over all connections. Without
- * it a few large uploads at once would exhaust the memory, although each is within its limit.
+ * Limits the total size of buffered request bodies over all connections, because concurrent uploads
+ * could exhaust the memory although each is within its own limit.
  */
 final class BodyBudget {
   private final long capacity;
-  private final AtomicLong held = new AtomicLong();
+  private final AtomicLong reservedBytes = new AtomicLong();
 
   BodyBudget(long capacity) {
     this.capacity = capacity;
   }
 
-  /** Reserves room; false when there is none now. */
+  /** Reserves bytes; returns false if the budget is exhausted. */
   boolean tryReserve(long bytes) {
-    if (held.addAndGet(bytes) > capacity) {
-      held.addAndGet(-bytes);
+    if (reservedBytes.addAndGet(bytes) > capacity) {
+      reservedBytes.addAndGet(-bytes);
       return false;
     }
     return true;
   }
 
   void release(long bytes) {
-    held.addAndGet(-bytes);
+    reservedBytes.addAndGet(-bytes);
   }
 
-  /** What one connection holds of the budget; answers do not count. */
-  HeldMemory forConnection() {
-    return new Bodies();
+  /** Creates the reservation of one connection; responses do not count. */
+  ConnectionMemory forConnection() {
+    return new ConnectionBodies();
   }
 
-  private final class Bodies implements HeldMemory {
+  private final class ConnectionBodies implements ConnectionMemory {
     private long reservedBytes;
 
     @Override
-    public boolean countsAnswers() {
+    public boolean limitsResponses() {
       return false;
     }
 
     @Override
-    public boolean tryHoldBody(long bytes) {
+    public boolean tryReserveBody(long bytes) {
       boolean reserved = tryReserve(bytes);
       if (reserved) {
         reservedBytes += bytes;
@@ -50,12 +50,12 @@
     }
 
     @Override
-    public boolean tryHoldAnswer(long bytes) {
+    public boolean tryReserveResponse(long bytes) {
       return true;
     }
 
     @Override
-    public void releaseAnswer(long bytes) {}
+    public void releaseResponse(long bytes) {}
 
     @Override
     public void releaseAll() {
@@ -64,9 +64,9 @@
     }
 
     @Override
-    public void belongTo(String tenant, Owner owner) {}
+    public void setOwner(String tenant, Owner owner) {}
 
     @Override
-    public void cannotBeGivenUp() {}
+    public void disableEviction() {}
   }
 }
--- a/serving/src/main/java/io/pathdeck/serving/http/ExchangeHandler.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/ExchangeHandler.java
@@ -20,18 +20,18 @@
 import java.util.function.Consumer;
 
 /**
- * Collects the requests of one connection, one at a time: a pipelined request waits until the
- * response before it has ended.
+ * Reads the requests of one connection, one at a time; a pipelined request waits for the end of the
+ * previous response.
  */
 final class ExchangeHandler extends ChannelInboundHandlerAdapter {
   private static final int MAX_PIPELINED_MESSAGES = 64;
   private static final long RETRY_AFTER_MS = 2_000;
 
-  /** Who sends a request is known only when it was read. */
-  private static final String NO_TENANT_YET = "";
+  /** The tenant of a request whose headers have not been authenticated. */
+  private static final String UNKNOWN_TENANT = "";
 
   private final HttpLimits limits;
-  private final HeldMemory memory;
+  private final ConnectionMemory memory;
   private final Consumer<HttpExchange> dispatcher;
   private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
   private ChannelHandlerContext context;
@@ -41,7 +41,7 @@
   private ScheduledFuture<?> readTimeout;
   private boolean rejected;
 
-  ExchangeHandler(HttpLimits limits, HeldMemory memory, Consumer<HttpExchange> dispatcher) {
+  ExchangeHandler(HttpLimits limits, ConnectionMemory memory, Consumer<HttpExchange> dispatcher) {
     this.memory = memory;
     this.limits = limits;
     this.dispatcher = dispatcher;
@@ -58,13 +58,13 @@
     if (rejected) {
       ReferenceCountUtil.release(message);
     } else if (exchange != null) {
-      pipeline(message);
+      enqueuePipelined(message);
     } else {
-      accept(message);
+      processMessage(message);
     }
   }
 
-  private void pipeline(Object message) {
+  private void enqueuePipelined(Object message) {
     if (pipelined.size() >= MAX_PIPELINED_MESSAGES) {
       ReferenceCountUtil.release(message);
       context.close();
@@ -73,19 +73,19 @@
     pipelined.add(message);
   }
 
-  private void accept(Object message) {
+  private void processMessage(Object message) {
     if (message instanceof HttpRequest head) {
-      acceptHead(head);
+      processHead(head);
     }
     if (message instanceof HttpContent content) {
-      acceptContent(content);
+      processContent(content);
     }
   }
 
-  private void acceptHead(HttpRequest head) {
+  private void processHead(HttpRequest head) {
     request = head;
     body = Unpooled.compositeBuffer(1024);
-    memory.belongTo(NO_TENANT_YET, this::rejectForWantOfMemory);
+    memory.setOwner(UNKNOWN_TENANT, this::rejectOutOfMemory);
     if (head.decoderResult().isFailure()) {
       reject(ApiError.invalid("bad_request", "the request is not valid HTTP"));
       return;
@@ -104,7 +104,7 @@
     return upload ? limits.maxUploadBytes() : limits.maxBodyBytes();
   }
 
-  private void acceptContent(HttpContent content) {
+  private void processContent(HttpContent content) {
     ByteBuf data = content.content();
     if (rejected || request == null) {
       data.release();
@@ -116,9 +116,9 @@
       return;
     }
     int length = data.readableBytes();
-    if (!memory.tryHoldBody(length)) {
+    if (!memory.tryReserveBody(length)) {
       data.release();
-      rejectForWantOfMemory();
+      rejectOutOfMemory();
       return;
     }
     body.addComponent(true, data);
@@ -127,14 +127,14 @@
     }
   }
 
-  private boolean rejectForWantOfMemory() {
+  private boolean rejectOutOfMemory() {
     reject(ApiError.unavailable("overloaded", "too many large requests at a time", RETRY_AFTER_MS));
     return true;
   }
 
   private void dispatch() {
     cancelReadTimeout();
-    memory.cannotBeGivenUp();
+    memory.disableEviction();
     byte[] bytes = new byte[body.readableBytes()];
     body.readBytes(bytes);
     releaseBody();
@@ -143,27 +143,27 @@
     dispatcher.accept(exchange);
   }
 
-  /** Answers before the whole request was read; the connection cannot be used any further. */
+  /** Sends an error before the request was fully read; the connection is not reusable. */
   private void reject(ApiError error) {
     rejected = true;
     cancelReadTimeout();
-    HttpExchange failed =
+    HttpExchange errorExchange =
         new HttpExchange(context.channel(), request, new byte[0], memory, () -> {});
     request.headers().set(HttpHeaderNames.CONNECTION, "close");
-    failed.closeAfterResponse();
-    failed.sendError(error);
+    errorExchange.closeAfterResponse();
+    errorExchange.sendError(error);
     releaseBody();
     memory.releaseAll();
   }
 
-  /** Asks the caller to close the connection after the response in progress, if it can be told. */
+  /** Closes the connection after the current response, unless that is already streaming. */
   void closeAfterResponse() {
     if (exchange != null && !exchange.isStreaming()) {
       exchange.closeAfterResponse();
     }
   }
 
-  /** Closes the connection unless a request of it was read, in part or whole, and not answered. */
+  /** Closes the connection unless a request is partly read, queued or awaiting its response. */
   void closeIfIdle() {
     if (exchange == null && request == null && pipelined.isEmpty()) {
       context.close();
@@ -171,16 +171,16 @@
   }
 
   private void onExchangeEnd() {
-    context.executor().execute(this::nextExchange);
+    context.executor().execute(this::startNextExchange);
   }
 
-  private void nextExchange() {
+  private void startNextExchange() {
     exchange = null;
     memory.releaseAll();
     if (context.channel().isActive()) {
       startReadTimeout();
       while (!pipelined.isEmpty() && exchange == null) {
-        accept(pipelined.poll());
+        processMessage(pipelined.poll());
       }
     }
   }
@@ -230,7 +230,7 @@
     pipelined.forEach(ReferenceCountUtil::release);
     pipelined.clear();
     if (exchange != null) {
-      exchange.vanished();
+      exchange.handleDisconnect();
     }
   }
 
--- a/serving/src/test/java/io/pathdeck/serving/http/TestServerStop.java
+++ b/serving/src/test/java/io/pathdeck/serving/http/TestServerStop.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A server that stops as planned closes a connection only after what it read of it is answered. */
+/** Guards against a graceful stop that drops requests already received. */
 @Timeout(20)
 class TestServerStop {
   private static final HttpLimits LIMITS = new HttpLimits(8_192, 1_000, 1_000, 10, 30_000);
   private static final long DRAIN_MS = 5_000;
-  private static final String WHOLE = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
+  private static final String REQUEST = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
   private final EventLoopGroup eventLoops = EventLoops.create(1);
   private final BlockingQueue<HttpExchange> dispatched = new LinkedBlockingQueue<>();
@@ -57,7 +57,6 @@
     socket.getOutputStream().flush();
   }
 
-  /** What comes until the server closes the connection. */
   private static String readAll(Socket socket) throws IOException {
     InputStream input = socket.getInputStream();
     return new String(input.readAllBytes(), StandardCharsets.US_ASCII);
@@ -72,9 +71,9 @@
   }
 
   @Test
-  void idleConnectionIsClosedAndTheDrainEnds() throws Exception {
+  void drainClosesIdleConnection() throws Exception {
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       nextRequest().sendJson(200, new byte[] {'{', '}'});
       CompletableFuture<Boolean> drained = drain();
       assertThat(readAll(socket)).startsWith("HTTP/1.1 200");
@@ -83,9 +82,9 @@
   }
 
   @Test
-  void requestInProgressIsAnsweredBeforeItsConnectionIsClosed() throws Exception {
+  void drainWaitsForRequestInProgress() throws Exception {
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       HttpExchange exchange = nextRequest();
       CompletableFuture<Boolean> drained = drain();
       Thread.sleep(200);
@@ -97,7 +96,7 @@
   }
 
   @Test
-  void requestReadInPartIsRefusedAsNotRunOnceItIsWhole() throws Exception {
+  void drainRefusesPartlyReadRequestAsNotRun() throws Exception {
     try (Socket socket = connect()) {
       send(socket, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab");
       Thread.sleep(200);
@@ -105,18 +104,18 @@
       Thread.sleep(200);
       assertThat(drained).isNotDone();
       send(socket, "cd");
-      String answer = readAll(socket);
-      assertThat(answer).startsWith("HTTP/1.1 503").contains("retry-after: 0");
-      assertThat(answer).contains("\"not_run\":true").contains("connection: close");
+      String response = readAll(socket);
+      assertThat(response).startsWith("HTTP/1.1 503").contains("retry-after: 0");
+      assertThat(response).contains("\"not_run\":true").contains("connection: close");
       assertThat(dispatched).isEmpty();
       assertThat(drained.get()).isTrue();
     }
   }
 
   @Test
-  void callersAreAskedToCloseConnectionsOnceTheServerLeaves() throws Exception {
+  void closesConnectionsAfterResponses() throws Exception {
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       HttpExchange exchange = nextRequest();
       server.closeConnectionsAfterResponses();
       eventLoops.next().submit(() -> {}).sync();
@@ -124,14 +123,14 @@
       assertThat(readAll(socket)).contains("connection: close");
     }
     try (Socket socket = connect()) {
-      send(socket, WHOLE);
+      send(socket, REQUEST);
       nextRequest().sendJson(200, new byte[] {'{', '}'});
       assertThat(readAll(socket)).startsWith("HTTP/1.1 200").contains("connection: close");
     }
   }
 
   @Test
-  void drainGivesUpOnACallerThatNeverEndsItsRequest() throws Exception {
+  void drainTimesOutOnIncompleteRequest() throws Exception {
     try (Socket socket = connect()) {
       send(socket, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab");
       Thread.sleep(200);
