--- a/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/LeaderState.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a replica keeps track of while it leads: the progress of the members and join requests. */
+/** The state of a leader: the replication progress of each member and recent join requests. */
 final class LeaderState {
   /**
    * The maximum retransmission timeout; short enough that a member that was unreachable for long
@@ -78,21 +78,21 @@
   }
 
   /**
-   * Rewinds a member to {@link FollowerProgress#resendFrom} when entries sent to it were not
+   * Rewinds a member to {@link FollowerProgress#resendFromIndex} when entries sent to it were not
    * acknowledged within the retransmission timeout.
    *
-   * <p>This depends on indexes and not on the number of messages in flight, since an
-   * acknowledgement of earlier entries does not show that a later message arrived. The timeout
-   * doubles while there is no progress; otherwise a slow member would be sent the same entries
-   * repeatedly, which keeps a saturated link saturated.
+   * <p>This compares indexes instead of counting messages in flight, since an acknowledgement of
+   * earlier entries does not show that a later message arrived. The timeout doubles while there is
+   * no progress; otherwise a slow member would be sent the same entries repeatedly, which keeps a
+   * saturated link saturated.
    */
   void rewindIfStalled(FollowerProgress follower, long nowMs) {
     boolean stalled =
-        follower.nextIndex > follower.resendFrom
+        follower.nextIndex > follower.resendFromIndex
             && nowMs - follower.lastAppendProgressMs >= follower.retransmitMs;
     if (stalled) {
       follower.window.onLoss();
-      follower.nextIndex = follower.resendFrom;
+      follower.nextIndex = follower.resendFromIndex;
       follower.rewoundAtMs = nowMs;
       follower.retransmitMs = Math.min(2 * follower.retransmitMs, MAX_RETRANSMIT_MS);
     }
@@ -102,7 +102,7 @@
     if (matchIndex > follower.matchIndex) {
       follower.matchIndex = matchIndex;
       follower.retransmitMs = settings.retransmitMs();
-      follower.resendFrom = matchIndex + 1;
+      follower.resendFromIndex = matchIndex + 1;
       follower.window.onAcknowledged(matchIndex);
       follower.lastAppendProgressMs = nowMs;
     }
@@ -133,7 +133,7 @@
       return false;
     }
     follower.nextIndex = target;
-    follower.resendFrom = target;
+    follower.resendFromIndex = target;
     follower.rewoundAtMs = nowMs;
     follower.window.onLoss();
     return true;
@@ -153,9 +153,10 @@
   }
 
   /**
-   * The latest send time that a quorum of voters, including the leader itself, has acknowledged.
+   * The latest time such that a quorum of voters has acknowledged a message that was sent at or
+   * after it. The leader counts as a voter that has acknowledged a message sent at {@code nowMs}.
    */
-  long quorumAcknowledgedMs(long nowMs) {
+  long quorumAcknowledgedSendMs(long nowMs) {
     return quorumValue(configuration, follower -> follower.lastAcknowledgedSendMs, nowMs);
   }
 
@@ -173,16 +174,17 @@
       if (!member.voter()) {
         continue;
       }
-      boolean self = member.id() == selfId && member.incarnation() == selfIncarnation;
-      values.add(self ? selfValue : value.applyAsLong(progress.get(member.id())));
+      boolean isSelf = member.id() == selfId && member.incarnation() == selfIncarnation;
+      values.add(isSelf ? selfValue : value.applyAsLong(progress.get(member.id())));
     }
     values.sort(Collections.reverseOrder());
     return values.get(current.quorum() - 1);
   }
 
   void onJoinRequest(JoinRequest join, long nowMs) {
-    RaftHeader from = join.header();
-    joinAttempts.put(from.from(), new JoinAttempt(from.fromIncarnation(), join.address(), nowMs));
+    RaftHeader header = join.header();
+    joinAttempts.put(
+        header.from(), new JoinAttempt(header.fromIncarnation(), join.address(), nowMs));
   }
 
   void setLeaving(Set<Integer> ids) {
@@ -239,8 +241,8 @@
     for (Map.Entry<Integer, JoinAttempt> entry : joinAttempts.entrySet()) {
       int id = entry.getKey();
       JoinAttempt join = entry.getValue();
-      boolean admitted = current.find(id).isPresent() || leaving.contains(id);
-      if (!admitted && isRecent(join, nowMs)) {
+      boolean memberOrLeaving = current.find(id).isPresent() || leaving.contains(id);
+      if (!memberOrLeaving && isRecent(join, nowMs)) {
         return Optional.of(new Member(id, join.incarnation(), false, join.address()));
       }
     }
@@ -248,7 +250,8 @@
   }
 
   /**
-   * The voter with the highest match index among those that respond and were sent the whole log.
+   * The voter with the highest match index among the responsive ones that were sent the last log
+   * entry, whether they acknowledged it or not.
    */
   Optional<Member> transferTarget(GroupConfiguration current, long lastIndex, long nowMs) {
     return current.members().stream()
--- a/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/RaftLog.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The part of a replica's log after its snapshot, in memory, and the configurations in it. */
+/**
+ * The in-memory log of a replica: the entries after its snapshot, the configuration in effect at
+ * the snapshot's index, and the configurations in these entries.
+ */
 final class RaftLog {
   private final List<LogEntry> entries = new ArrayList<>();
   private final TreeMap<Long, GroupConfiguration> configurations = new TreeMap<>();
@@ -15,7 +18,10 @@
   private long snapshotTerm;
   private long sizeBytes;
 
-  /** Starts the log after a snapshot (or, with index 0, at its beginning). */
+  /**
+   * Empties the log and starts it after the snapshot at {@code index}, or at its beginning for
+   * index 0.
+   */
   void reset(long index, long term, GroupConfiguration configuration) {
     entries.clear();
     configurations.clear();
--- a/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
+++ b/consensus/src/main/java/io/pathdeck/consensus/Replicator.java
@@ -34,7 +34,7 @@
 
   /** The age of the latest message that a quorum has acknowledged. */
   long quorumSilenceMs(long nowMs) {
-    return nowMs - leaderState.quorumAcknowledgedMs(nowMs);
+    return nowMs - leaderState.quorumAcknowledgedSendMs(nowMs);
   }
 
   void onJoinRequest(JoinRequest join, long nowMs) {
@@ -46,7 +46,8 @@
   }
 
   /**
-   * The voter to transfer leadership to; empty while no responsive voter was sent the whole log.
+   * The voter to transfer leadership to; empty when there is none. It is responsive and was sent
+   * the last log entry, but may not have acknowledged it.
    */
   Optional<Member> transferTarget(long nowMs) {
     return leaderState.transferTarget(state.log.configuration(), state.log.lastIndex(), nowMs);
@@ -79,10 +80,10 @@
   }
 
   private void changeMembershipIfNeeded(long nowMs) {
-    boolean pending =
+    boolean changePending =
         state.log.configurationIndex() > state.commitIndex
             || state.log.term(state.commitIndex) != state.term;
-    if (pending) {
+    if (changePending) {
       return;
     }
     leaderState
@@ -129,14 +130,14 @@
   }
 
   private void countSentBytes(FollowerProgress progress, List<LogEntry> entries) {
-    long sent = 0;
-    long resent = 0;
+    long sentBytes = 0;
+    long resentBytes = 0;
     for (LogEntry entry : entries) {
-      sent += entry.sizeBytes();
-      resent += entry.index() <= progress.highestSentIndex ? entry.sizeBytes() : 0;
+      sentBytes += entry.sizeBytes();
+      resentBytes += entry.index() <= progress.highestSentIndex ? entry.sizeBytes() : 0;
       progress.highestSentIndex = Math.max(progress.highestSentIndex, entry.index());
     }
-    state.statistics = state.statistics.plus(sent, resent);
+    state.statistics = state.statistics.plus(sentBytes, resentBytes);
   }
 
   private void requestSnapshot(Member member, FollowerProgress progress, long nowMs) {
@@ -159,37 +160,37 @@
         continue;
       }
       leaderState.rewindIfStalled(progress, nowMs);
-      long previous = Math.max(lastCommonIndex(progress), state.log.snapshotIndex());
-      sendAppend(member, previous, List.of(), nowMs);
+      long previousIndex = Math.max(lastCommonIndex(progress), state.log.snapshotIndex());
+      sendAppend(member, previousIndex, List.of(), nowMs);
       replicateTo(member, nowMs);
     }
   }
 
   /**
-   * The index up to which the member's log is assumed to match. For a member without a known match
-   * this is the end of the log: a heartbeat that refers to the beginning would always succeed, and
-   * a member with an empty log would get no entries until the next command.
+   * The index that a heartbeat refers to: the match index or, while none is known, the index before
+   * the next entry to send. Index 0 would match any log, so a member that lacks entries would not
+   * reject the heartbeat, and the leader would not rewind it.
    */
   private static long lastCommonIndex(FollowerProgress progress) {
     return progress.matchIndex > 0 ? progress.matchIndex : progress.nextIndex - 1;
   }
 
-  private void sendAppend(Member member, long previous, List<LogEntry> entries, long nowMs) {
+  private void sendAppend(Member member, long previousIndex, List<LogEntry> entries, long nowMs) {
     state.messages.add(
         new AppendRequest(
             state.header(member.id(), member.incarnation()),
-            previous,
-            state.log.term(previous),
+            previousIndex,
+            state.log.term(previousIndex),
             entries,
             state.commitIndex,
             nowMs));
   }
 
   /**
-   * Records the acknowledged send time and returns the member's progress; null when the
+   * Records the send time of the answered message and returns the sender's progress; null when the
    * configuration does not contain the sender's incarnation.
    */
-  private FollowerProgress onAcknowledged(RaftHeader header, long sentAtMs) {
+  private FollowerProgress recordResponse(RaftHeader header, long sentAtMs) {
     FollowerProgress progress = leaderState.progress(header.from());
     if (progress == null || progress.incarnation != header.fromIncarnation()) {
       return null;
@@ -209,7 +210,7 @@
 
   private void onAppendResponse(AppendResponse response, long nowMs) {
     RaftHeader header = response.header();
-    FollowerProgress progress = onAcknowledged(header, response.sentAtMs());
+    FollowerProgress progress = recordResponse(header, response.sentAtMs());
     if (progress == null) {
       return;
     }
@@ -225,7 +226,7 @@
 
   private void onSnapshotChunkResponse(SnapshotChunkResponse response, long nowMs) {
     RaftHeader header = response.header();
-    FollowerProgress progress = onAcknowledged(header, response.sentAtMs());
+    FollowerProgress progress = recordResponse(header, response.sentAtMs());
     if (progress == null) {
       return;
     }
@@ -242,9 +243,9 @@
   }
 
   void advanceCommit() {
-    long candidate = leaderState.quorumMatchIndex(state.log.configuration(), state.syncedIndex);
-    if (candidate > state.commitIndex && state.log.term(candidate) == state.term) {
-      state.commitIndex = candidate;
+    long quorumIndex = leaderState.quorumMatchIndex(state.log.configuration(), state.syncedIndex);
+    if (quorumIndex > state.commitIndex && state.log.term(quorumIndex) == state.term) {
+      state.commitIndex = quorumIndex;
     }
   }
 }
--- a/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
+++ b/consensus/src/test/java/io/pathdeck/consensus/RateLimitedGroup.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Replicas connected by a {@link RateLimitedNetwork}, with disks that take time to sync. */
+/** Replicas with a constant sync time, connected by a {@link RateLimitedNetwork}. */
 final class RateLimitedGroup {
   private static final int GROUP = 1;
   private static final long STEP_MS = 1;
@@ -39,7 +39,7 @@
   private final Map<Integer, Node> nodes = new TreeMap<>();
   private long nowMs = 1_000;
   private long proposedBytes;
-  private int elections;
+  private int electionCount;
 
   /** Starts {@code size} voters, numbered from 1, with election timers seeded by {@code seed}. */
   RateLimitedGroup(int size, RateLimitedNetwork network, RaftSettings settings, long seed) {
@@ -119,7 +119,7 @@
     }
     boolean leads = node.replica.role() == ReplicaRole.LEADER;
     if (leads && !node.wasLeader) {
-      elections++;
+      electionCount++;
     }
     node.wasLeader = leads;
   }
@@ -146,9 +146,9 @@
     return proposedBytes;
   }
 
-  /** How often a replica has become leader. */
-  int elections() {
-    return elections;
+  /** The number of times that any replica became leader. */
+  int electionCount() {
+    return electionCount;
   }
 
   /** The highest index that any replica knows to be committed. */
--- a/dispatch/src/main/java/io/pathdeck/dispatch/PartitionLink.java
+++ b/dispatch/src/main/java/io/pathdeck/dispatch/PartitionClient.java
@@ -12,10 +12,10 @@
 import java.util.function.Consumer;
 
 /**
- * A dispatcher's dealings with one jobs partition: one commit and one renewal at a time, results
- * kept until they are known to be stored.
+ * Commits results to one jobs partition and renews its leases. At most one commit and one renewal
+ * are pending; results are kept until their commit is confirmed.
  */
-final class PartitionLink {
+final class PartitionClient {
   private static final int MAX_RESULTS_PER_COMMIT = 256;
   private static final long CALL_TIMEOUT_MS = 10_000;
   private static final long RENEW_INTERVAL_MS = 500;
@@ -26,11 +26,11 @@
   private final ControlPlane controllers;
   private final Consumer<DispatchEvent> events;
   private final List<ItemResult> uncommitted = new ArrayList<>();
-  private int committing;
-  private boolean renewing;
+  private int commitSize;
+  private boolean renewalPending;
   private long nextRenewMs;
 
-  PartitionLink(
+  PartitionClient(
       int partition,
       String dispatcherId,
       long leaseMs,
@@ -43,7 +43,7 @@
     this.events = events;
   }
 
-  void add(ItemResult result) {
+  void addResult(ItemResult result) {
     uncommitted.add(result);
   }
 
@@ -51,31 +51,31 @@
     return !uncommitted.isEmpty();
   }
 
-  /** Sends what waits, unless a commit is under way. */
+  /** Sends uncommitted results unless a commit is pending. */
   void commit() {
-    if (committing > 0 || uncommitted.isEmpty()) {
+    if (commitSize > 0 || uncommitted.isEmpty()) {
       return;
     }
-    committing = Math.min(MAX_RESULTS_PER_COMMIT, uncommitted.size());
-    List<ItemResult> batch = new ArrayList<>(uncommitted.subList(0, committing));
+    commitSize = Math.min(MAX_RESULTS_PER_COMMIT, uncommitted.size());
+    List<ItemResult> batch = new ArrayList<>(uncommitted.subList(0, commitSize));
     controllers
         .propose(partition, new CommitResults(dispatcherId, batch), CALL_TIMEOUT_MS)
         .thenAccept(result -> events.accept(new DispatchEvent.Committed(partition, result)));
   }
 
-  /** A commit ended; a failed one is sent again, which is harmless: the first result stays. */
+  /** Handles the end of a commit. A failed one is resent safely, as the first result is kept. */
   void onCommitted(Result<CommandResult, ControlError> result) {
     if (result.isOk()) {
-      uncommitted.subList(0, committing).clear();
+      uncommitted.subList(0, commitSize).clear();
     }
-    committing = 0;
+    commitSize = 0;
   }
 
   void renew(List<Long> leaseIds, long nowMs) {
-    if (renewing || leaseIds.isEmpty() || nowMs < nextRenewMs) {
+    if (renewalPending || leaseIds.isEmpty() || nowMs < nextRenewMs) {
       return;
     }
-    renewing = true;
+    renewalPending = true;
     nextRenewMs = nowMs + RENEW_INTERVAL_MS;
     controllers
         .propose(
@@ -86,6 +86,6 @@
   }
 
   void onRenewed() {
-    renewing = false;
+    renewalPending = false;
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/EngineConnection.java
@@ -23,33 +23,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to one engine instance.
+ * A connection to one engine instance; carries one call at a time.
  *
- * <p>An engine may send a second response to a call late, in place of the response to the next call
- * on the connection. Responses name the request but not the attempt. So a connection carries each
- * request only once, and accepts a response only if it names the request of the current call. An
- * error response that names no request may be a second response to a call without a request: it
- * fails the current call as one that may have run. A response that names another request is
- * skipped. Data that arrives without a call in progress is dropped. A connection that dropped
- * anything is not reused.
+ * <p>An engine may respond twice to a call, so that the second response arrives while the next call
+ * on the connection waits for its own. A response contains the id of its request, but does not
+ * identify the attempt. So a connection carries each request id only once, and accepts a response
+ * only if its request id is that of the current call. Other responses are dropped, and so is data
+ * that arrives without a call in progress. An error response without a request id cannot be
+ * attributed to a call, so it is dropped and fails the current call, whose request may have run. A
+ * connection that dropped anything is not reused.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog EVENTS = EventLog.of(EngineConnection.class);
-  private static final String NONE = "";
+  private static final String NO_VALUE = "";
 
-  /**
-   * Bounds the request ids kept by a connection to about 23 KB, at 90 bytes each; costs one new
-   * connection in 256 calls.
-   */
+  /** Bounds the memory for {@link #sentRequestIds} to about 23 KB, at 90 bytes per id. */
   private static final int MAX_REQUESTS_PER_CONNECTION = 256;
 
-  /** How much earlier than the engine this side stops using an idle connection. */
+  /** Idle connections are closed this long before the engine's own idle timeout. */
   private static final long IDLE_MARGIN_MS = 600;
 
   private enum ReadState {
     HEAD,
     BODY,
-    SKIPPED_BODY
+    IGNORED_BODY
   }
 
   private final NettyEngineTransport owner;
@@ -58,7 +55,7 @@
   private final Set<String> sentRequestIds = new HashSet<>();
   private ChannelHandlerContext context;
   private PendingCall currentCall;
-  private ChannelFuture requestWritten;
+  private ChannelFuture requestWrite;
   private ReadState readState = ReadState.HEAD;
   private boolean keepAlive;
   private boolean usedBefore;
@@ -84,11 +81,11 @@
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext added) {
-    context = added;
+  public void handlerAdded(ChannelHandlerContext ctx) {
+    context = ctx;
   }
 
-  /** Whether {@code requestId} was not sent here before: responses do not tell attempts apart. */
+  /** Whether this connection has not carried {@code requestId} yet. */
   boolean canSend(String requestId) {
     return !sentRequestIds.contains(requestId);
   }
@@ -101,20 +98,20 @@
     call.onSent(this);
     readState = ReadState.HEAD;
     responseStarted = false;
-    requestWritten = context.channel().writeAndFlush(protocol.write(call.call()));
+    requestWrite = context.channel().writeAndFlush(protocol.write(call.call()));
   }
 
-  /** Whether an idle connection may carry another call. */
+  /** Whether this idle connection is open and has been idle for less than the limit. */
   boolean isUsable(long nowNs, long limitMs) {
     long idleMs = TimeUnit.NANOSECONDS.toMillis(nowNs - idleSinceNs);
-    long limit = limitMs;
+    long effectiveLimitMs = limitMs;
     if (engineIdleTimeoutMs > 0) {
-      limit = Math.min(limit, engineIdleTimeoutMs - IDLE_MARGIN_MS);
+      effectiveLimitMs = Math.min(effectiveLimitMs, engineIdleTimeoutMs - IDLE_MARGIN_MS);
     }
-    return context.channel().isActive() && idleMs < limit;
+    return context.channel().isActive() && idleMs < effectiveLimitMs;
   }
 
-  /** Keeps a connection that was established after its call was canceled. */
+  /** Makes this new connection available to other calls, since its own call was canceled. */
   void keepUnused() {
     idleSinceNs = System.nanoTime();
     owner.addIdle(this);
@@ -161,7 +158,7 @@
   private void readHead(HttpResponse head) {
     HttpResponseStatus status = head.status();
     if (status.codeClass() == HttpStatusClass.INFORMATIONAL) {
-      readState = ReadState.SKIPPED_BODY;
+      readState = ReadState.IGNORED_BODY;
       return;
     }
     EngineResponse response = protocol.read(head);
@@ -169,25 +166,25 @@
     if (!response.requestId().equals(currentCall.call().requestId())) {
       logDropped(head, "it names another request");
       responseDropped = true;
-      readState = ReadState.SKIPPED_BODY;
+      readState = ReadState.IGNORED_BODY;
       if (!success && response.requestId().equals(EngineCall.NO_REQUEST_ID)) {
         abortCall("a failure that names no request");
       }
       return;
     }
-    if (success && currentCall.call().hasRequestId() && !response.signed()) {
+    if (success && currentCall.call().hasRequestId() && !response.stamped()) {
       abortCall("a success without a signature");
       return;
     }
     readState = ReadState.BODY;
-    keepAlive = HttpUtil.isKeepAlive(head) && !endsWithConnection(head);
+    keepAlive = HttpUtil.isKeepAlive(head) && !isCloseDelimited(head);
     engineIdleTimeoutMs = response.idleTimeoutMs();
     currentCall.listener().onHead(response);
   }
 
   private void logDropped(HttpObject message, String reason) {
-    String namedRequestId = NONE;
-    String status = NONE;
+    String namedRequestId = NO_VALUE;
+    String status = NO_VALUE;
     if (message instanceof HttpResponse head) {
       namedRequestId = protocol.read(head).requestId();
       status = String.valueOf(head.status().code());
@@ -197,7 +194,7 @@
         "engine",
         engine.id(),
         "awaited",
-        currentCall == null ? NONE : currentCall.call().requestId(),
+        currentCall == null ? NO_VALUE : currentCall.call().requestId(),
         "named",
         namedRequestId,
         "status",
@@ -208,7 +205,7 @@
         completedCalls);
   }
 
-  private static boolean endsWithConnection(HttpResponse head) {
+  private static boolean isCloseDelimited(HttpResponse head) {
     return !HttpUtil.isTransferEncodingChunked(head) && !HttpUtil.isContentLengthSet(head);
   }
 
@@ -225,7 +222,7 @@
   }
 
   private void completeCall() {
-    PendingCall completed = currentCall;
+    PendingCall completedCall = currentCall;
     currentCall = null;
     completedCalls++;
     resumeReading();
@@ -236,13 +233,13 @@
     } else {
       close();
     }
-    completed.complete();
+    completedCall.complete();
   }
 
   private boolean isReusable() {
-    boolean clean = requestWritten.isDone() && !responseDropped;
+    boolean isClean = requestWrite.isDone() && !responseDropped;
     boolean hasRoom = sentRequestIds.size() < MAX_REQUESTS_PER_CONNECTION;
-    return keepAlive && clean && hasRoom && context.channel().isActive();
+    return keepAlive && isClean && hasRoom && context.channel().isActive();
   }
 
   private void abortCall(String reason) {
@@ -257,10 +254,10 @@
   }
 
   private void fail(EngineFailure failure, String reason) {
-    PendingCall failed = currentCall;
+    PendingCall failedCall = currentCall;
     close();
-    if (failed != null) {
-      failed.fail(failure, reason);
+    if (failedCall != null) {
+      failedCall.fail(failure, reason);
     }
   }
 
--- a/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/engine/SseEventScanner.java
@@ -22,14 +22,16 @@
   private String problem;
 
   /**
-   * Creates a scanner that resumes after event {@code resumeAfter}; -1 if the first id is unknown.
+   * Creates a scanner.
+   *
+   * @param resumeAfterId id of the event before the first one; -1 to accept any first id
    */
-  public SseEventScanner(long resumeAfter) {
-    this.lastId = resumeAfter;
-    this.hasLastId = resumeAfter >= 0;
+  public SseEventScanner(long resumeAfterId) {
+    this.lastId = resumeAfterId;
+    this.hasLastId = resumeAfterId >= 0;
   }
 
-  /** Adds bytes and returns the events that they complete. */
+  /** Adds bytes and returns the events that they complete, up to the first invalid one. */
   public byte[] feed(byte[] bytes) {
     append(bytes);
     int start = 0;
@@ -101,7 +103,7 @@
     return new String(buffer, from, to - from, StandardCharsets.UTF_8).trim();
   }
 
-  /** Id of the last complete event; -1 before the first one. */
+  /** Id of the last complete event; before the first one, the id to resume after, or -1 if none. */
   public long lastId() {
     return hasLastId ? lastId : -1;
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/GatewayProcess.java
@@ -28,14 +28,14 @@
 import io.pathdeck.protocol.fleet.FleetRole;
 import io.pathdeck.protocol.transport.TransportTls;
 import io.pathdeck.serving.http.ApiError;
-import io.pathdeck.serving.http.HeldMemory;
+import io.pathdeck.serving.http.ConnectionMemory;
 import io.pathdeck.serving.http.HttpExchange;
 import io.pathdeck.serving.http.HttpServer;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Supplier;
 
-/** A gateway, which forwards callers' requests to engines and keeps no durable state. */
+/** A gateway process. Forwards callers' requests to engines and keeps no durable state. */
 public final class GatewayProcess implements FleetMemberProcess {
   private static final EventLog EVENTS = EventLog.of(GatewayProcess.class);
 
@@ -63,11 +63,11 @@
         new TenantLimiter(
             eventLoop, contacts.client(), fleet.name(), startNs, fleet.limitWindowMs());
     follower =
-        contacts.follower(
+        contacts.createFollower(
             eventLoop,
             () ->
                 new FleetFollower.SelfReport(describe(startNs), false, null, limiter.tenantUses()));
-    follower.onContention(limiter::onContendedTenants);
+    follower.setContentionListener(limiter::onContendedTenants);
     JobsGroupLocator jobs = new JobsGroupLocator(pool, RetryTimer.on(eventLoops), follower::view);
     RequestMetrics metrics = new RequestMetrics();
     QuarantiningTransport transport = createEngineTransport(eventLoop);
@@ -87,10 +87,10 @@
     LoadMetrics loadMetrics = new LoadMetrics();
     loadExchange = resources.push(createLoadExchange(eventLoop, startNs, loadMetrics));
     if (!fleet.tls().isEnabled()) {
-      gateway.onPeriodicCheck(loadExchange::openIfNeeded);
-      gateway.onCallStarted(loadExchange::onCallStarted);
+      gateway.setPeriodicCheck(loadExchange::openIfNeeded);
+      gateway.setCallStartListener(loadExchange::onCallStarted);
     }
-    follower.onChange(view -> onChange(view, transport));
+    follower.setChangeListener(view -> onChange(view, transport));
     callerServer =
         resources.push(
             new HttpServer(
@@ -106,7 +106,7 @@
             eventLoops,
             settings.limits(),
             Optional.empty(),
-            this::answerReadiness));
+            this::handleReadinessCheck));
     fleet
         .metricsListen()
         .ifPresent(
@@ -120,10 +120,10 @@
     resources.push(follower);
   }
 
-  private static Supplier<HeldMemory> memoryFactory(
+  private static Supplier<ConnectionMemory> memoryFactory(
       GatewaySettings settings, MemoryMetrics metrics) {
     if (settings.memoryBudgetMb() == 0) {
-      return HttpServer.bodiesOnly(settings.limits());
+      return HttpServer.limitBodiesOnly(settings.limits());
     }
     return new MemoryBudget(settings.memoryBudgetBytes(), metrics)::open;
   }
@@ -142,7 +142,7 @@
   private QuarantiningTransport createEngineTransport(EventLoop eventLoop) {
     EngineCrashReporter reporter =
         new EngineCrashReporter(eventLoop, contacts.client(), follower::reportNow);
-    follower.onNewLeader(reporter::onNewLeader);
+    follower.setNewLeaderListener(reporter::onNewLeader);
     NettyEngineTransport transport = new NettyEngineTransport(eventLoop, adapter.engines());
     EngineLivenessProbe liveness = new EngineLivenessProbe(eventLoop, transport, adapter.engines());
     return new QuarantiningTransport(
@@ -198,7 +198,7 @@
     return !stopping.get() && follower.isUsable();
   }
 
-  private void answerReadiness(HttpExchange exchange) {
+  private void handleReadinessCheck(HttpExchange exchange) {
     if (!exchange.path().equals(adapter.callers().readinessPath())) {
       exchange.sendError(ApiError.notFound("not_found", "no such call"));
     } else if (isReady()) {
@@ -240,8 +240,8 @@
   }
 
   /**
-   * Keeps serving until the directory and the platform no longer list this gateway; returns false
-   * if interrupted.
+   * Sleeps for the minimum drain time, in which the directory and the platform should remove this
+   * gateway from their lists; returns false if interrupted.
    */
   private boolean awaitMinDrain() {
     try {
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/MemoryBudget.java
@@ -2,7 +2,7 @@
 
 import io.pathdeck.common.events.EventCode;
 import io.pathdeck.common.events.EventLog;
-import io.pathdeck.serving.http.HeldMemory;
+import io.pathdeck.serving.http.ConnectionMemory;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
  *
  * <p>It protects against large bodies, floods and slow readers. Above the limit, the largest
  * reservation of the tenant with the most memory is evicted first, so a flooding tenant loses its
- * own requests before those of others.
+ * own requests before other tenants lose theirs.
  */
 final class MemoryBudget {
   private static final EventLog EVENTS = EventLog.of(MemoryBudget.class);
@@ -27,7 +27,7 @@
   private final long maxBytes;
   private final MemoryMetrics metrics;
 
-  /** Only reservations that are not empty. */
+  /** Nonempty reservations only. */
   private final Set<Reservation> reservations = new LinkedHashSet<>();
 
   private long heldBytes;
@@ -38,7 +38,7 @@
   }
 
   /** Opens an empty reservation for one connection. */
-  HeldMemory open() {
+  ConnectionMemory open() {
     return new Reservation();
   }
 
@@ -55,11 +55,11 @@
   }
 
   /**
-   * Evicts until the budget holds after {@code requester} has grown; returns false if it would be
-   * next itself.
+   * Evicts reservations until the total is within the limit. Returns false if it still exceeds the
+   * limit because the next candidate is {@code requester} itself, or none is left.
    */
   private boolean makeRoom(Reservation requester) {
-    List<Evicted> evicted = new ArrayList<>();
+    List<EvictedReservation> evicted = new ArrayList<>();
     boolean fits = true;
     while (heldBytes > maxBytes && fits) {
       Optional<Reservation> candidate = evictionCandidate();
@@ -86,11 +86,11 @@
         .max(Comparator.comparingLong(bytesOfTenant).thenComparingLong(Reservation::bytes));
   }
 
-  private void notifyOwner(Evicted evicted) {
-    recordEviction(evicted.tenant(), evicted.bytes(), evicted.owner().giveUp());
+  private void notifyOwner(EvictedReservation evicted) {
+    recordBudgetReached(evicted.tenant(), evicted.bytes(), evicted.owner().evict());
   }
 
-  private void recordEviction(String tenant, long bytes, boolean rejected) {
+  private void recordBudgetReached(String tenant, long bytes, boolean rejected) {
     if (rejected) {
       metrics.onRejected();
     } else {
@@ -118,13 +118,14 @@
     }
   }
 
-  /** An evicted reservation and the owner that must free its memory. */
-  private record Evicted(String tenant, long bytes, HeldMemory.Owner owner) {}
+  /** The state of a reservation before its eviction, to notify its owner. */
+  private record EvictedReservation(String tenant, long bytes, ConnectionMemory.Owner owner) {}
 
   /**
-   * The memory of one connection. After an eviction it refuses further bytes until it is released.
+   * The memory of one connection. After an eviction it refuses further bytes until {@link
+   * #releaseAll}.
    */
-  private final class Reservation implements HeldMemory {
+  private final class Reservation implements ConnectionMemory {
     private String tenant = "";
     private Owner owner;
     private long bodyBytes;
@@ -136,12 +137,12 @@
     }
 
     @Override
-    public boolean countsAnswers() {
+    public boolean limitsResponses() {
       return true;
     }
 
     @Override
-    public boolean tryHoldBody(long bytes) {
+    public boolean tryReserveBody(long bytes) {
       if (evicted) {
         return false;
       }
@@ -152,12 +153,12 @@
       }
       bodyBytes -= bytes;
       applyChange(this, -bytes);
-      recordEviction(tenant, bytes, true);
+      recordBudgetReached(tenant, bytes, true);
       return false;
     }
 
     @Override
-    public boolean tryHoldAnswer(long bytes) {
+    public boolean tryReserveResponse(long bytes) {
       if (evicted) {
         return false;
       }
@@ -168,12 +169,12 @@
       }
       answerBytes -= bytes;
       applyChange(this, -bytes);
-      recordEviction(tenant, bytes, false);
+      recordBudgetReached(tenant, bytes, false);
       return false;
     }
 
     @Override
-    public void releaseAnswer(long bytes) {
+    public void releaseResponse(long bytes) {
       long released = Math.min(bytes, answerBytes);
       answerBytes -= released;
       applyChange(this, -released);
@@ -194,8 +195,8 @@
       applyChange(this, -released);
     }
 
-    private Evicted evict() {
-      Evicted result = new Evicted(tenant, bytes(), owner);
+    private EvictedReservation evict() {
+      EvictedReservation result = new EvictedReservation(tenant, bytes(), owner);
       clear();
       owner = null;
       evicted = true;
@@ -203,13 +204,13 @@
     }
 
     @Override
-    public void belongTo(String newTenant, Owner newOwner) {
+    public void setOwner(String newTenant, Owner newOwner) {
       tenant = newTenant;
       owner = newOwner;
     }
 
     @Override
-    public void cannotBeGivenUp() {
+    public void disableEviction() {
       owner = null;
     }
   }
--- a/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/gateway/RequestForwarder.java
@@ -31,7 +31,7 @@
 final class RequestForwarder implements Dispatchable {
   private static final int SERVER_ERROR = 500;
 
-  /** How long coordinators quarantine a request under which engines crashed. */
+  /** How long coordinators quarantine a request on which engines crashed. */
   private static final long QUARANTINE_RETRY_AFTER_MS = 600_000;
 
   private static final String MEMORY_EXHAUSTED = "memory for callers is short";
@@ -84,11 +84,11 @@
     this.lastEventId = request.resumeAfter();
     this.budget = new AttemptBudget(route, context.settings().maxSends());
     this.log = new RequestLog(request.requestId(), route.name(), budget);
-    long waitMs = route.timeoutMs();
-    if (request.deadlineMs() > 0) {
-      waitMs = Math.min(waitMs, request.deadlineMs());
+    long timeoutMs = route.timeoutMs();
+    if (request.maxWaitMs() > 0) {
+      timeoutMs = Math.min(timeoutMs, request.maxWaitMs());
     }
-    this.deadlineMs = nowMs + Math.max(1, waitMs - context.settings().responseMarginMs());
+    this.deadlineMs = nowMs + Math.max(1, timeoutMs - context.settings().responseMarginMs());
   }
 
   private static long nowMs() {
@@ -97,9 +97,9 @@
 
   void start() {
     context.activeRequests().add(this);
-    exchange.onVanished(this::onCallerDisconnected);
-    exchange.memory().belongTo(authorization.caller().tenantName(), this::evict);
-    exchange.onPartWritten(() -> isReadPaused(nowMs()));
+    exchange.setDisconnectListener(this::onCallerDisconnected);
+    exchange.memory().setOwner(authorization.caller().tenantName(), this::evict);
+    exchange.setPartWrittenListener(() -> isReadPaused(nowMs()));
     long waitMs = Math.max(0, deadlineMs - nowMs());
     timeout = context.eventLoop().schedule(this::onDeadline, waitMs, TimeUnit.MILLISECONDS);
     sendToNextEngine();
@@ -216,10 +216,10 @@
     finishUnserved(reason);
   }
 
-  /** Releases the memory of the request; returns whether it is rejected as not run. */
+  /** Ends the request to free memory; returns whether the caller is told that it did not run. */
   private boolean evict() {
     if (finished) {
-      exchange.breakOff();
+      exchange.forceClose();
       return false;
     }
     boolean notRun = !headSent && !budget.mayHaveRun();
@@ -256,7 +256,7 @@
     Refusals.unavailable(exchange, reason, retryAfterMs);
   }
 
-  /** Ends a quarantined request, under which engines crash, at once and without a retry. */
+  /** Ends a request that is quarantined because engines crashed on it; does not retry it. */
   private void onQuarantined(String reason) {
     attempt = null;
     budget.onNotRun();
@@ -447,7 +447,7 @@
     private void onErrorResponse() {
       long now = nowMs();
       if (response.wrongInstance()) {
-        engine().onGone();
+        engine().onRemoved();
         retryOrFinish(true, "another engine has the address");
       } else if (response.notRun()) {
         engine().onFull(now, Math.max(response.retryAfterMs(), 50));
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/AdmissionController.java
@@ -12,13 +12,13 @@
 /**
  * Admits requests of rate-limited tenants at one gateway; confined to one thread.
  *
- * <p>Requests of a tenant far below its limit are admitted locally. Those of a contended tenant,
- * near its limit, are decided one by one by the leading coordinator. While the leader does not
- * respond, a gateway admits no more of a contended tenant than its window held at the leader's last
- * update, so that the total of the fleet does not grow.
+ * <p>Requests of a tenant far below its limit are admitted locally. A tenant near its limit is
+ * called contended; the leading coordinator decides about each of its requests. While the leader
+ * does not respond, a gateway admits no more requests of a contended tenant than its window held at
+ * the leader's last update, so that the total of the fleet does not grow.
  */
 public final class AdmissionController {
-  /** The decision about a request. */
+  /** How to proceed with a request. */
   public enum Decision {
     ADMIT,
     ASK_LEADER,
@@ -31,46 +31,43 @@
   }
 
   /**
-   * How long a refusal by the leader applies to further requests, so that a flood costs one query
-   * per period. For a large tenant, room for another one appears every few milliseconds.
+   * How long a refusal by the leader also applies to later requests of the tenant, which limits a
+   * flood to one query per period. Short, since a large tenant's limit has room again within
+   * milliseconds.
    */
   private static final long REFUSAL_TTL_MS = 50;
 
   /**
-   * How long after the leader's last update an uncontended tenant is admitted without bound. After
-   * that, a gateway admits at most twice what its window held, since the fleet was below half of
-   * the limit.
+   * How long after the leader's last update a tenant that is not contended is admitted without
+   * bound. After that, a gateway admits at most twice the requests that its window held at that
+   * update, since the fleet was then below half of the limit.
    */
   private static final long LEADER_UPDATE_TTL_MS = 1_000;
 
   /** State of one tenant at this gateway. */
   private static final class TenantState {
-    final SlidingWindowCounter admitted;
+    final SlidingWindowCounter admittedRequests;
     int admittedAtLastUpdate;
     long refusedUntilMs = Long.MIN_VALUE;
 
     TenantState(long windowMs) {
-      admitted = new SlidingWindowCounter(windowMs);
+      admittedRequests = new SlidingWindowCounter(windowMs);
     }
   }
 
   private final long windowMs;
   private final Map<String, TenantState> tenants = new HashMap<>();
-  private Set<String> contended = Set.of();
+  private Set<String> contendedTenants = Set.of();
   private long lastUpdateMs;
 
-  /**
-   * Creates a controller.
-   *
-   * @param windowMs the length of the window over which limits apply
-   */
+  /** Creates a controller for limits that apply over windows of {@code windowMs}. */
   public AdmissionController(long windowMs, long nowMs) {
     this.windowMs = windowMs;
     this.lastUpdateMs = nowMs;
   }
 
   public Decision decide(String tenant, long nowMs) {
-    if (!contended.contains(tenant)) {
+    if (!contendedTenants.contains(tenant)) {
       return mayAdmitLocally(tenant, nowMs) ? Decision.ADMIT : Decision.UNDECIDED;
     }
     TenantState state = tenants.get(tenant);
@@ -83,18 +80,18 @@
       return true;
     }
     TenantState state = tenant(tenant);
-    return state.admitted.total(nowMs) <= 2 * state.admittedAtLastUpdate;
+    return state.admittedRequests.total(nowMs) <= 2 * state.admittedAtLastUpdate;
   }
 
   /** Returns whether to admit a request after the leader did not respond to a query about it. */
   public boolean mayAdmitWithoutLeader(String tenant, long nowMs) {
     TenantState state = tenant(tenant);
-    return state.admitted.total(nowMs) < state.admittedAtLastUpdate;
+    return state.admittedRequests.total(nowMs) < state.admittedAtLastUpdate;
   }
 
   /** Records that a request was admitted and is sent to an engine. */
   public void onAdmitted(String tenant, long nowMs) {
-    tenant(tenant).admitted.add(nowMs);
+    tenant(tenant).admittedRequests.add(nowMs);
   }
 
   /** Records that the leader refused a request. */
@@ -102,12 +99,15 @@
     tenant(tenant).refusedUntilMs = nowMs + REFUSAL_TTL_MS;
   }
 
-  /** Updates the contended tenants from the leader. */
-  public void onContendedTenants(List<String> nearLimit, long nowMs) {
-    contended = new HashSet<>(nearLimit);
+  /**
+   * Handles an update by the leader: replaces the contended tenants and records the current counts,
+   * which bound admissions while the leader is silent.
+   */
+  public void onContendedTenants(List<String> tenantsNearLimit, long nowMs) {
+    contendedTenants = new HashSet<>(tenantsNearLimit);
     lastUpdateMs = nowMs;
     for (TenantState tenant : tenants.values()) {
-      tenant.admittedAtLastUpdate = tenant.admitted.total(nowMs);
+      tenant.admittedAtLastUpdate = tenant.admittedRequests.total(nowMs);
     }
   }
 
@@ -117,7 +117,7 @@
     Iterator<Map.Entry<String, TenantState>> entries = tenants.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<String, TenantState> entry = entries.next();
-      int admitted = entry.getValue().admitted.total(nowMs);
+      int admitted = entry.getValue().admittedRequests.total(nowMs);
       if (admitted > 0) {
         uses.add(new TenantUse(entry.getKey(), admitted));
       } else if (nowMs >= entry.getValue().refusedUntilMs) {
--- a/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 
 /**
- * Tracks, at the leading coordinator, what all gateways admit of rate-limited tenants.
+ * Tracks, at the leading coordinator, the requests of rate-limited tenants that all gateways admit.
  *
- * <p>Nothing is replicated: each heartbeat of a gateway reports its whole window, so a new leader
- * is complete after one round of heartbeats. Requests granted since a gateway's last heartbeat are
- * added to it. A gateway that is silent still counts for one more window.
+ * <p>Nothing is replicated: each heartbeat of a gateway reports the counts of its whole window, so
+ * a new leader is complete after one round of heartbeats. Requests that the leader granted since a
+ * gateway's last heartbeat are added to its counts. The counts of a silent gateway expire after one
+ * window.
  */
 public final class TenantLedger {
   /**
-   * Share of its limit from which a tenant is contended. Gateways learn of it within a heartbeat
-   * interval of 300 ms; the other half covers what they admit until then, at up to six times the
-   * limit's rate for a window of 5 s.
+   * Share of its limit from which a tenant is contended. Gateways learn of it with their next
+   * heartbeat; the other half covers what they admit until then.
    */
   private static final double CONTENTION_START_SHARE = 0.5;
 
@@ -28,12 +28,12 @@
   private static final double CONTENTION_END_SHARE = 0.3;
 
   /**
-   * Tolerance for reports that are up to 300 ms old and still count requests that left the window:
-   * 300 ms are 6 percent of a window of 5 s.
+   * Tolerance for counts that still include requests that have left the window. Counts are up to
+   * one heartbeat interval old, about a twentieth of the default window.
    */
   private static final double STALENESS_FACTOR = 1.05;
 
-  /** The same as a number of requests, for small limits of which 5 percent are less than one. */
+  /** Added to the tolerance for small limits, of which 5 percent are less than one request. */
   private static final double STALENESS_ALLOWANCE_REQUESTS = 2;
 
   private record GatewayIncarnation(String gateway, long incarnation) {}
@@ -41,14 +41,14 @@
   /** State of one gateway. */
   private static final class GatewayState {
     long lastHeardMs;
-    Map<String, Integer> reported = Map.of();
+    Map<String, Integer> reportedByTenant = Map.of();
     final Map<String, Integer> grantedSinceReport = new HashMap<>();
   }
 
   private final long windowMs;
   private final Map<GatewayIncarnation, GatewayState> gateways = new HashMap<>();
-  private final Map<String, Integer> totals = new HashMap<>();
-  private final Set<String> contended = new HashSet<>();
+  private final Map<String, Integer> admittedByTenant = new HashMap<>();
+  private final Set<String> contendedTenants = new HashSet<>();
 
   /**
    * Creates an empty ledger.
@@ -62,8 +62,8 @@
   /** Clears the ledger when this coordinator becomes leader. */
   public void clear() {
     gateways.clear();
-    totals.clear();
-    contended.clear();
+    admittedByTenant.clear();
+    contendedTenants.clear();
   }
 
   /** Replaces a gateway's counts by those of its latest heartbeat. */
@@ -76,14 +76,15 @@
     state.grantedSinceReport.clear();
     Map<String, Integer> reported = new HashMap<>();
     uses.forEach(use -> reported.put(use.tenant(), use.admitted()));
-    state.reported = reported;
-    reported.forEach((tenant, admitted) -> totals.merge(tenant, admitted, Integer::sum));
+    state.reportedByTenant = reported;
+    reported.forEach((tenant, admitted) -> admittedByTenant.merge(tenant, admitted, Integer::sum));
   }
 
   private void subtract(GatewayState gateway) {
-    gateway.reported.forEach((tenant, admitted) -> totals.merge(tenant, -admitted, Integer::sum));
+    gateway.reportedByTenant.forEach(
+        (tenant, admitted) -> admittedByTenant.merge(tenant, -admitted, Integer::sum));
     gateway.grantedSinceReport.forEach(
-        (tenant, granted) -> totals.merge(tenant, -granted, Integer::sum));
+        (tenant, granted) -> admittedByTenant.merge(tenant, -granted, Integer::sum));
   }
 
   /** Removes gateways that were silent for a whole window. */
@@ -100,8 +101,11 @@
             });
   }
 
-  /** Returns the tenants whose requests gateways must ask the leader about. */
-  public List<String> contended(List<CallerTenant> tenants) {
+  /**
+   * Updates and returns the tenants near their limits, whose requests gateways must ask the leader
+   * about.
+   */
+  public List<String> contendedTenants(List<CallerTenant> tenants) {
     List<String> names = new ArrayList<>();
     for (CallerTenant tenant : tenants) {
       if (tenant.isLimited() && updateContention(tenant)) {
@@ -112,23 +116,23 @@
   }
 
   private boolean updateContention(CallerTenant tenant) {
-    boolean wasContended = contended.contains(tenant.name());
+    boolean wasContended = contendedTenants.contains(tenant.name());
     double threshold =
         tenant.maxRequestsIn(windowMs)
             * (wasContended ? CONTENTION_END_SHARE : CONTENTION_START_SHARE);
-    boolean isContended = admitted(tenant.name()) >= threshold;
+    boolean isContended = admittedRequests(tenant.name()) >= threshold;
     if (isContended && !wasContended) {
-      contended.add(tenant.name());
+      contendedTenants.add(tenant.name());
     } else if (!isContended && wasContended) {
-      contended.remove(tenant.name());
+      contendedTenants.remove(tenant.name());
     }
     return isContended;
   }
 
-  /** Admits one request at a gateway if the tenant stays within its limit. */
+  /** Admits and counts one request at a gateway if the tenant stays within its limit. */
   public boolean tryAdmit(String gateway, long incarnation, CallerTenant tenant, long nowMs) {
     double max = tenant.maxRequestsIn(windowMs) * STALENESS_FACTOR + STALENESS_ALLOWANCE_REQUESTS;
-    if (admitted(tenant.name()) + 1 > max) {
+    if (admittedRequests(tenant.name()) + 1 > max) {
       return false;
     }
     GatewayState state =
@@ -136,12 +140,12 @@
             new GatewayIncarnation(gateway, incarnation), key -> new GatewayState());
     state.lastHeardMs = Math.max(state.lastHeardMs, nowMs);
     state.grantedSinceReport.merge(tenant.name(), 1, Integer::sum);
-    totals.merge(tenant.name(), 1, Integer::sum);
+    admittedByTenant.merge(tenant.name(), 1, Integer::sum);
     return true;
   }
 
   /** Returns the requests of a tenant that all gateways admitted in the window. */
-  public int admitted(String tenant) {
-    return totals.getOrDefault(tenant, 0);
+  public int admittedRequests(String tenant) {
+    return admittedByTenant.getOrDefault(tenant, 0);
   }
 }
--- a/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/member/GroupClient.java
@@ -16,8 +16,8 @@
 /**
  * Sends messages to the current leader of one group.
  *
- * <p>A message is retried until its deadline, one attempt at a time; the group's commands are
- * idempotent. Thread-safe.
+ * <p>A message is retried until its deadline, one attempt at a time, so the commands of the group
+ * must be idempotent. Thread-safe.
  */
 public final class GroupClient {
   private static final long RETRY_DELAY_MS = 60;
@@ -31,6 +31,8 @@
   /**
    * Creates a client that tries the first candidate first.
    *
+   * @param pool the connections to the candidates
+   * @param timer schedules retries
    * @param candidates addresses of processes that may know the leader
    */
   public GroupClient(PeerPool pool, RetryTimer timer, Supplier<List<String>> candidates) {
@@ -46,7 +48,7 @@
     this.order = order;
   }
 
-  /** Sends {@code message}; the future completes within {@code timeoutMs} or shortly after. */
+  /** Sends {@code message}; the future completes at most slightly later than {@code timeoutMs}. */
   public CompletableFuture<Result<Message, GroupCallError>> call(
       Message message, long timeoutMs, long attemptTimeoutMs) {
     CompletableFuture<Result<Message, GroupCallError>> outcome = new CompletableFuture<>();
@@ -60,13 +62,16 @@
     return leaderAddress;
   }
 
-  /** Sends the next message to another candidate, after an answer that came from no leader. */
+  /**
+   * Forgets the leader, so that the next call tries another candidate; used when no leader
+   * answered.
+   */
   void tryNextCandidate() {
     leaderAddress = "";
     order.advance();
   }
 
-  private String target() {
+  private String selectTarget() {
     String leader = leaderAddress;
     if (!leader.isEmpty()) {
       return leader;
@@ -81,14 +86,14 @@
     order.advance();
   }
 
-  /** One call with its attempts, which never overlap. */
+  /** A call with its attempts, which never overlap. */
   private final class Call {
     private final Message message;
     private final long deadlineNs;
     private final long attemptTimeoutMs;
     private final CompletableFuture<Result<Message, GroupCallError>> outcome;
     private boolean mayHaveRun;
-    private String lastReason = "no member is known";
+    private String lastFailureReason = "no member is known";
 
     Call(
         Message message,
@@ -104,10 +109,10 @@
     void attempt() {
       long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - timer.nowNs());
       if (remainingMs <= 0) {
-        outcome.complete(Result.err(new GroupCallError(lastReason, mayHaveRun)));
+        outcome.complete(Result.err(new GroupCallError(lastFailureReason, mayHaveRun)));
         return;
       }
-      String target = target();
+      String target = selectTarget();
       Optional<PeerClient> client = pool.client(target);
       if (client.isEmpty()) {
         onTargetFailed(target);
@@ -122,7 +127,7 @@
 
     private void onResult(String target, Result<Message, TransportError> result) {
       if (!result.isOk()) {
-        lastReason = target + ": " + result.error();
+        lastFailureReason = target + ": " + result.error();
         mayHaveRun |= result.error().mayHaveRun();
         onTargetFailed(target);
         retry();
@@ -130,10 +135,10 @@
       }
       Message reply = result.value();
       if (reply instanceof NotLeader notLeader) {
-        lastReason = target + ": not the leader";
+        lastFailureReason = target + ": not the leader";
         followRedirect(target, notLeader);
       } else if (reply instanceof Unavailable unavailable) {
-        lastReason = target + ": " + unavailable.reason();
+        lastFailureReason = target + ": " + unavailable.reason();
         mayHaveRun |= unavailable.mayHaveRun();
         retry();
       } else {
--- a/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/quarantine/EngineCrashReporter.java
@@ -21,38 +21,40 @@
  * Reports to the leading coordinator which requests were in progress when engines crashed; confined
  * to the event loop.
  *
- * <p>A notice is sent until a leader accepts it. Leaders do not replicate what they collect, so a
- * new leader is sent all recent crashes again.
+ * <p>A report is retried until a leader accepts it. Leaders do not replicate reported crashes, so
+ * all recent crashes are sent again to a new leader.
  */
 public final class EngineCrashReporter {
-  /**
-   * Batches the requests that one crash interrupts: they are noticed within a millisecond or two.
-   */
+  /** Lets one report cover all requests that a crash interrupted: they fail within milliseconds. */
   private static final long BATCH_DELAY_MS = 10;
 
   private static final long RETRY_PAUSE_MS = 200;
   private static final long CALL_TIMEOUT_MS = 900;
   private static final long ATTEMPT_TIMEOUT_MS = 300;
 
-  /** Bounds the crashes that are sent again to a new leader; about 200 bytes each. */
+  /** Bounds the memory for crashes to send again to a new leader, at about 200 bytes each. */
   private static final int MAX_RECENT_CRASHES = 512;
 
   private final EventLoop eventLoop;
-  private final GroupClient coordinators;
+  private final GroupClient coordinatorClient;
   private final Runnable onAccepted;
   private final Deque<EngineEnd> recentCrashes = new ArrayDeque<>();
   private final Set<EngineEnd> unreportedCrashes = new LinkedHashSet<>();
-  private final Set<RequestFingerprint> served = new LinkedHashSet<>();
+  private final Set<RequestFingerprint> servedRequests = new LinkedHashSet<>();
   private boolean sending;
 
   /**
    * Creates a reporter.
    *
-   * @param onAccepted runs when a leader has accepted a notice, to fetch what follows from it
+   * @param eventLoop runs the methods, timers and {@code onAccepted}
+   * @param coordinatorClient sends messages to the leading coordinator
+   * @param onAccepted run after the leader accepted a report, for example to fetch the updated
+   *     quarantine list
    */
-  public EngineCrashReporter(EventLoop eventLoop, GroupClient coordinators, Runnable onAccepted) {
+  public EngineCrashReporter(
+      EventLoop eventLoop, GroupClient coordinatorClient, Runnable onAccepted) {
     this.eventLoop = eventLoop;
-    this.coordinators = coordinators;
+    this.coordinatorClient = coordinatorClient;
     this.onAccepted = onAccepted;
   }
 
@@ -68,11 +70,11 @@
   void reportServed(RequestFingerprint request) {
     recentCrashes.removeIf(crash -> crash.request().equals(request));
     unreportedCrashes.removeIf(crash -> crash.request().equals(request));
-    served.add(request);
+    servedRequests.add(request);
     sendAfter(BATCH_DELAY_MS);
   }
 
-  /** Another coordinator leads, which knows nothing of earlier crashes. */
+  /** Sends the recent crashes again, because a new leader does not know them. */
   public void onNewLeader() {
     unreportedCrashes.addAll(recentCrashes);
     if (!unreportedCrashes.isEmpty()) {
@@ -89,8 +91,8 @@
 
   private void send() {
     EngineEndNotice notice =
-        new EngineEndNotice(List.copyOf(unreportedCrashes), List.copyOf(served));
-    coordinators
+        new EngineEndNotice(List.copyOf(unreportedCrashes), List.copyOf(servedRequests));
+    coordinatorClient
         .call(notice, CALL_TIMEOUT_MS, ATTEMPT_TIMEOUT_MS)
         .thenAcceptAsync(result -> onReply(notice, result), eventLoop);
   }
@@ -100,10 +102,10 @@
     boolean accepted = result.isOk() && result.value() instanceof EngineEndNoted;
     if (accepted) {
       unreportedCrashes.removeAll(new ArrayList<>(notice.ends()));
-      served.removeAll(new ArrayList<>(notice.served()));
+      servedRequests.removeAll(new ArrayList<>(notice.served()));
       onAccepted.run();
     }
-    if (!unreportedCrashes.isEmpty() || !served.isEmpty()) {
+    if (!unreportedCrashes.isEmpty() || !servedRequests.isEmpty()) {
       sendAfter(accepted ? BATCH_DELAY_MS : RETRY_PAUSE_MS);
     }
   }
--- a/serving/src/main/java/io/pathdeck/serving/http/HttpServer.java
+++ b/serving/src/main/java/io/pathdeck/serving/http/HttpServer.java
@@ -27,23 +27,23 @@
 import java.util.function.Supplier;
 
 /**
- * Serves HTTP/1.1 and hands each whole request to a handler.
+ * HTTP/1.1 server that passes each complete request to a handler.
  *
- * <p>A planned stop goes through the phases of {@link ServerPhase}. Whether a connection is idle is
- * decided on its event loop, where its requests are read, so none is closed between the reading of
- * a request and its answer.
+ * <p>A graceful stop goes through the phases of {@link ServerPhase}. Idle connections are detected
+ * on their event loop, which also reads requests, so no connection with a pending request is
+ * closed.
  */
 public final class HttpServer implements AutoCloseable {
   private static final EventLog EVENTS = EventLog.of(HttpServer.class);
   private static final int MAX_INITIAL_LINE_LENGTH = 8_192;
 
-  /** Other processes serve on, so a caller that is refused during a stop need not wait. */
-  private static final Map<String, String> RETRY_ELSEWHERE_NOW =
+  /** Other processes are available during a stop, so refused callers may retry without delay. */
+  private static final Map<String, String> RETRY_IMMEDIATELY =
       Map.of(HttpHeaderNames.RETRY_AFTER.toString(), "0");
 
   private static final long DRAIN_POLL_MS = 20;
 
-  private final Supplier<HeldMemory> memory;
+  private final Supplier<ConnectionMemory> memory;
   private volatile HttpLimits limits;
   private final Optional<SslContext> tls;
   private final Consumer<HttpExchange> handler;
@@ -52,23 +52,23 @@
   private final AtomicReference<ServerPhase> phase = new AtomicReference<>(ServerPhase.SERVING);
   private final Channel channel;
 
-  /** Binds {@code address}. */
+  /** Starts a server that limits the memory of request bodies only. */
   public HttpServer(
       HostPort address,
       EventLoopGroup eventLoops,
       HttpLimits limits,
       Optional<SslContext> tls,
       Consumer<HttpExchange> handler) {
-    this(address, eventLoops, limits, tls, bodiesOnly(limits), handler);
+    this(address, eventLoops, limits, tls, limitBodiesOnly(limits), handler);
   }
 
-  /** Binds {@code address}; {@code memory} counts what each connection holds. */
+  /** Starts a server; {@code memory} creates the memory accounting of each connection. */
   public HttpServer(
       HostPort address,
       EventLoopGroup eventLoops,
       HttpLimits limits,
       Optional<SslContext> tls,
-      Supplier<HeldMemory> memory,
+      Supplier<ConnectionMemory> memory,
       Consumer<HttpExchange> handler) {
     this.limits = limits;
     this.memory = memory;
@@ -80,51 +80,52 @@
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, 1024)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new Initializer())
+            .childHandler(new ConnectionInitializer())
             .bind(address.toSocketAddress())
             .syncUninterruptibly()
             .channel();
   }
 
-  /** Bounds request bodies only. */
-  public static Supplier<HeldMemory> bodiesOnly(HttpLimits limits) {
+  /** Returns memory accounting that limits request bodies but not responses. */
+  public static Supplier<ConnectionMemory> limitBodiesOnly(HttpLimits limits) {
     BodyBudget budget = new BodyBudget(limits.maxUploadBytes() + 8L * limits.maxBodyBytes());
     return budget::forConnection;
   }
 
-  /** Sets the limits of connections that come from now on. */
+  /** Sets the limits for new connections. */
   public void setLimits(HttpLimits newLimits) {
     limits = newLimits;
   }
 
-  /** The number of requests whose response has not ended. */
+  /** Returns the number of requests without a finished response. */
   public int activeExchanges() {
     return activeExchanges.get();
   }
 
-  /** Whether new requests are refused because the process stops. */
+  /** Returns whether new requests are refused because the process is stopping. */
   public boolean isDraining() {
     return phase.get().compareTo(ServerPhase.DRAINING) >= 0;
   }
 
-  private void enter(ServerPhase next) {
-    phase.accumulateAndGet(next, (now, later) -> now.compareTo(later) < 0 ? later : now);
+  private void advanceTo(ServerPhase next) {
+    phase.accumulateAndGet(
+        next, (current, candidate) -> current.compareTo(candidate) < 0 ? candidate : current);
   }
 
-  /** Still serves, but closes each connection after its next response. */
+  /** Closes each connection after its next response; new requests are still served. */
   public void closeConnectionsAfterResponses() {
-    enter(ServerPhase.LEAVING);
+    advanceTo(ServerPhase.CLOSING_CONNECTIONS);
     forEachConnection(ExchangeHandler::closeAfterResponse);
   }
 
   /**
-   * Takes no new connections, refuses new requests as not run and closes each connection once all
-   * that was read of it is answered.
+   * Stops accepting connections, refuses new requests as not run and closes each connection after
+   * the responses to all requests read from it.
    *
-   * @return whether all connections were closed in time
+   * @return whether all connections were closed before the timeout
    */
   public boolean drain(long timeoutMs) {
-    enter(ServerPhase.DRAINING);
+    advanceTo(ServerPhase.DRAINING);
     channel.close().syncUninterruptibly();
     long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     while (!connections.isEmpty() && System.nanoTime() < deadlineNs) {
@@ -139,7 +140,7 @@
     return connections.isEmpty();
   }
 
-  /** Runs an action for each connection, on the event loop that reads it. */
+  /** Runs an action for each connection on its event loop. */
   private void forEachConnection(Consumer<ExchangeHandler> action) {
     for (Channel connection : connections) {
       ExchangeHandler handler = connection.pipeline().get(ExchangeHandler.class);
@@ -151,12 +152,12 @@
 
   @Override
   public void close() {
-    enter(ServerPhase.CLOSED);
+    advanceTo(ServerPhase.CLOSED);
     channel.close().syncUninterruptibly();
     connections.close().awaitUninterruptibly();
   }
 
-  private final class Initializer extends ChannelInitializer<SocketChannel> {
+  private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
     @Override
     protected void initChannel(SocketChannel child) {
       HttpLimits current = limits;
@@ -181,7 +182,7 @@
 
   private void dispatch(HttpExchange exchange) {
     activeExchanges.incrementAndGet();
-    exchange.onEnded(activeExchanges::decrementAndGet);
+    exchange.setEndListener(activeExchanges::decrementAndGet);
     if (phase.get() != ServerPhase.SERVING) {
       exchange.closeAfterResponse();
     }
@@ -189,7 +190,7 @@
       EVENTS.log(EventCode.REQUEST_REFUSED, "path", exchange.path(), "reason", "stopping");
       exchange.sendError(
           ApiError.unavailable("stopping", "this process is stopping; use another one", 0),
-          RETRY_ELSEWHERE_NOW);
+          RETRY_IMMEDIATELY);
       return;
     }
     handler.accept(exchange);
--- a/serving/src/main/java/io/pathdeck/serving/routing/EngineHealth.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/EngineHealth.java
@@ -1,15 +1,15 @@
 package io.pathdeck.serving.routing;
 
 /**
- * Passive health of one engine: failures eject it, each time for longer; after that a single
- * request tries it, and its allowance doubles with each success.
+ * Passive health check of one engine. Failures eject it for exponentially increasing times; after
+ * an ejection its concurrency limit starts at one request and doubles with each success.
  */
 final class EngineHealth {
   private final RoutingSettings settings;
   private int consecutiveFailures;
   private int ejections;
   private long ejectedUntilMs;
-  private int allowance = Integer.MAX_VALUE;
+  private int concurrencyLimit = Integer.MAX_VALUE;
 
   EngineHealth(RoutingSettings settings) {
     this.settings = settings;
@@ -19,28 +19,28 @@
     return nowMs < ejectedUntilMs;
   }
 
-  /** The most requests the engine may have in flight while it proves itself. */
-  int allowance() {
-    return allowance;
+  /** Returns the maximum number of requests in flight during recovery. */
+  int concurrencyLimit() {
+    return concurrencyLimit;
   }
 
   void onSuccess() {
     consecutiveFailures = 0;
-    if (allowance != Integer.MAX_VALUE) {
-      allowance = allowance * 2;
-      if (allowance > settings.maxInFlightPerEngine()) {
-        allowance = Integer.MAX_VALUE;
+    if (concurrencyLimit != Integer.MAX_VALUE) {
+      concurrencyLimit = concurrencyLimit * 2;
+      if (concurrencyLimit > settings.maxInFlightPerEngine()) {
+        concurrencyLimit = Integer.MAX_VALUE;
         ejections = 0;
       }
     }
   }
 
-  /** Counts a failure; returns whether it ejected the engine. */
-  boolean onFailure(boolean certain, long nowMs) {
+  /** Records a failure; returns whether it ejected the engine. */
+  boolean onFailure(boolean ejectImmediately, long nowMs) {
     consecutiveFailures++;
-    boolean eject = certain || consecutiveFailures >= settings.ejectAfterFailures();
-    boolean provingItself = allowance != Integer.MAX_VALUE;
-    if (isEjected(nowMs) || !(eject || provingItself)) {
+    boolean eject = ejectImmediately || consecutiveFailures >= settings.ejectAfterFailures();
+    boolean recovering = concurrencyLimit != Integer.MAX_VALUE;
+    if (isEjected(nowMs) || !(eject || recovering)) {
       return false;
     }
     eject(nowMs);
@@ -48,15 +48,15 @@
   }
 
   private void eject(long nowMs) {
-    long length = settings.minEjectionMs() << Math.min(ejections, 16);
-    ejectedUntilMs = nowMs + Math.min(settings.maxEjectionMs(), length);
+    long durationMs = settings.minEjectionMs() << Math.min(ejections, 16);
+    ejectedUntilMs = nowMs + Math.min(settings.maxEjectionMs(), durationMs);
     ejections++;
     consecutiveFailures = 0;
-    allowance = 1;
+    concurrencyLimit = 1;
   }
 
-  /** Keeps new work away for a while without counting a failure. */
-  void avoidUntil(long untilMs) {
+  /** Stops new requests until a time without counting a failure. */
+  void suspendUntil(long untilMs) {
     ejectedUntilMs = Math.max(ejectedUntilMs, untilMs);
   }
 }
--- a/serving/src/main/java/io/pathdeck/serving/routing/RoutingCore.java
+++ b/serving/src/main/java/io/pathdeck/serving/routing/RoutingCore.java
@@ -13,23 +13,23 @@
 import java.util.Optional;
 
 /**
- * The node's decisions: which requests are admitted, which engine runs an attempt, and what follows
- * a failed one. Pure: time and events come in, decisions go out.
+ * Decides on admission, the engine of each attempt and retries after failures. Pure: inputs are
+ * events and the time, outputs are decisions.
  *
- * <p>Whether to try again is decided here only, from one question: may the request have run? If
- * not, it may go to another engine. If it may have, it may only when the caller allowed repeats.
+ * <p>All retry decisions are made here. A request that did not run can be sent to another engine;
+ * one that may have run can be retried only if the caller declared it repeatable.
  */
 public final class RoutingCore {
-  private static final long FULL_RETRY_AFTER_MS = 1_000;
-  private static final long LEAVING_FORGET_MS = 10_000;
+  private static final long RETRY_AFTER_MS = 1_000;
+  private static final long LEAVING_EXPIRY_MS = 10_000;
 
   private static final class ActiveRequest {
     final RoutableRequest request;
     int attempts;
     EngineState engine;
 
-    /** The engine of the last failed attempt, avoided if there is another. */
-    EngineState avoid;
+    /** The engine of the last failed attempt; avoided if another is usable. */
+    EngineState lastFailedEngine;
 
     ActiveRequest(RoutableRequest request) {
       this.request = request;
@@ -52,12 +52,12 @@
     this.retryBudget = new RetryBudget(settings.retryBudgetRatio(), settings.retryBudgetBurst());
   }
 
-  /** The number of requests that are being served. */
+  /** Returns the number of active requests. */
   public int activeRequests() {
     return active.size();
   }
 
-  /** Takes a new configuration. */
+  /** Applies a new configuration; engines keep their state unless their address changed. */
   public void onConfiguration(ConfigurationView view) {
     configuration = view;
     Map<String, EngineState> previous = new HashMap<>(engines);
@@ -94,13 +94,14 @@
   }
 
   private static List<RoutingDecision> refuse(RoutableRequest request, RefusalReason reason) {
-    return List.of(new RoutingDecision.Refuse(request.requestId(), reason, FULL_RETRY_AFTER_MS));
+    return List.of(new RoutingDecision.Refuse(request.requestId(), reason, RETRY_AFTER_MS));
   }
 
   private List<RoutingDecision> startAttempt(ActiveRequest entry, long nowMs) {
     RoutableRequest request = entry.request;
     List<EngineState> candidates = candidatesByService.getOrDefault(request.service(), List.of());
-    EngineState engine = selector.select(candidates, request.prefixHash(), entry.avoid, nowMs);
+    EngineState engine =
+        selector.select(candidates, request.prefixHash(), entry.lastFailedEngine, nowMs);
     if (engine == null) {
       finish(entry);
       boolean anyAlive =
@@ -115,9 +116,9 @@
         new RoutingDecision.StartAttempt(request.requestId(), entry.attempts, engine.spec));
   }
 
-  /** The running attempt has delivered the whole answer. */
+  /** Handles the complete response of the running attempt. */
   public void onCompleted(long requestId, int attempt) {
-    ActiveRequest entry = current(requestId, attempt);
+    ActiveRequest entry = runningRequest(requestId, attempt);
     if (entry != null) {
       entry.engine.health.onSuccess();
       finish(entry);
@@ -125,21 +126,21 @@
   }
 
   /**
-   * The running attempt has failed.
+   * Handles the failure of the running attempt.
    *
-   * @param started whether an earlier attempt may have run, or tokens reached the caller
+   * @param started whether an earlier attempt may have run or the caller received tokens
    */
   public List<RoutingDecision> onFailed(
       long requestId, int attempt, AttemptFailure failure, boolean started, long nowMs) {
-    ActiveRequest entry = current(requestId, attempt);
+    ActiveRequest entry = runningRequest(requestId, attempt);
     if (entry == null) {
       return List.of();
     }
     EngineState engine = entry.engine;
     engine.inFlight--;
     entry.engine = null;
-    entry.avoid = engine;
-    noteFailure(engine, failure, nowMs);
+    entry.lastFailedEngine = engine;
+    recordFailure(engine, failure, nowMs);
     boolean mayHaveRun = started || failure.mayHaveRun();
     if (mayHaveRun && !entry.request.repeatable()) {
       return fail(entry, FailureReason.OUTCOME_UNKNOWN, true);
@@ -151,7 +152,7 @@
     if (retry) {
       List<RoutingDecision> decisions = startAttempt(entry, nowMs);
       boolean refused = decisions.get(0) instanceof RoutingDecision.Refuse;
-      return refused && mayHaveRun ? failedAfterStart(entry) : decisions;
+      return refused && mayHaveRun ? attemptsExhausted(entry) : decisions;
     }
     if (mayHaveRun) {
       return fail(entry, FailureReason.ATTEMPTS_EXHAUSTED, true);
@@ -160,24 +161,24 @@
     return refuse(entry.request, RefusalReason.ENGINES_FULL);
   }
 
-  private static List<RoutingDecision> failedAfterStart(ActiveRequest entry) {
+  private static List<RoutingDecision> attemptsExhausted(ActiveRequest entry) {
     return List.of(
         new RoutingDecision.Fail(
             entry.request.requestId(), FailureReason.ATTEMPTS_EXHAUSTED, true));
   }
 
-  private void noteFailure(EngineState engine, AttemptFailure failure, long nowMs) {
+  private void recordFailure(EngineState engine, AttemptFailure failure, long nowMs) {
     if (failure instanceof AttemptFailure.Refused refused) {
       if (refused.leaving()) {
         engine.leaving = true;
         leavingSinceMs.put(engine, nowMs);
       } else {
-        engine.health.avoidUntil(nowMs + Math.min(refused.retryAfterMs(), FULL_RETRY_AFTER_MS));
+        engine.health.suspendUntil(nowMs + Math.min(refused.retryAfterMs(), RETRY_AFTER_MS));
       }
       return;
     }
-    boolean certain = failure instanceof AttemptFailure.ConnectFailed;
-    engine.health.onFailure(certain, nowMs);
+    boolean connectFailed = failure instanceof AttemptFailure.ConnectFailed;
+    engine.health.onFailure(connectFailed, nowMs);
   }
 
   private List<RoutingDecision> fail(
@@ -186,7 +187,7 @@
     return List.of(new RoutingDecision.Fail(entry.request.requestId(), reason, mayHaveRun));
   }
 
-  /** The caller has gone, or its connection cannot take the answer. */
+  /** Handles a caller that disconnected or reads too slowly. */
   public List<RoutingDecision> onCancelled(long requestId) {
     ActiveRequest entry = active.get(requestId);
     if (entry == null) {
@@ -200,7 +201,7 @@
     return decisions;
   }
 
-  /** An engine reported its load. */
+  /** Handles an engine's load report. */
   public void onLoad(String engineName, EngineLoad load, long nowMs) {
     EngineState engine = engines.get(engineName);
     if (engine != null) {
@@ -208,17 +209,17 @@
     }
   }
 
-  /** Lets deadlines act. */
+  /** Fails requests after their deadline. */
   public List<RoutingDecision> poll(long nowMs) {
-    forgetLeaving(nowMs);
-    List<ActiveRequest> late = new ArrayList<>();
+    expireLeaving(nowMs);
+    List<ActiveRequest> expired = new ArrayList<>();
     for (ActiveRequest entry : active.values()) {
       if (nowMs >= entry.request.deadlineMs()) {
-        late.add(entry);
+        expired.add(entry);
       }
     }
     List<RoutingDecision> decisions = new ArrayList<>();
-    for (ActiveRequest entry : late) {
+    for (ActiveRequest entry : expired) {
       long requestId = entry.request.requestId();
       decisions.add(new RoutingDecision.CancelAttempt(requestId, entry.attempts));
       decisions.addAll(fail(entry, FailureReason.DEADLINE_EXCEEDED, true));
@@ -226,19 +227,19 @@
     return decisions;
   }
 
-  /** An engine that said it was leaving is asked again after a while: it may have come back. */
-  private void forgetLeaving(long nowMs) {
+  /** Makes engines that announced a shutdown usable after a delay, as they may have restarted. */
+  private void expireLeaving(long nowMs) {
     Iterator<Map.Entry<EngineState, Long>> iterator = leavingSinceMs.entrySet().iterator();
     while (iterator.hasNext()) {
       Map.Entry<EngineState, Long> entry = iterator.next();
-      if (nowMs - entry.getValue() >= LEAVING_FORGET_MS) {
+      if (nowMs - entry.getValue() >= LEAVING_EXPIRY_MS) {
         entry.getKey().leaving = false;
         iterator.remove();
       }
     }
   }
 
-  private ActiveRequest current(long requestId, int attempt) {
+  private ActiveRequest runningRequest(long requestId, int attempt) {
     ActiveRequest entry = active.get(requestId);
     boolean matches = entry != null && entry.attempts == attempt && entry.engine != null;
     return matches ? entry : null;
--- a/serving/src/test/java/io/pathdeck/serving/http/TestExchangeHandler.java
+++ b/serving/src/test/java/io/pathdeck/serving/http/TestExchangeHandler.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Request bodies are bounded, each and all together. */
+/** Tests the size limits of request bodies, per request and per server. */
 class TestExchangeHandler {
   private static final HttpLimits LIMITS = new HttpLimits(8_192, 100, 1_000, 10, 30_000);
 
@@ -23,12 +23,12 @@
         new ExchangeHandler(LIMITS, budget.forConnection(), dispatched::add));
   }
 
-  private static ByteBuf post(String path, int announced, int sent) {
-    String head = "POST " + path + " HTTP/1.1\r\nContent-Length: " + announced + "\r\n\r\n";
-    return Unpooled.copiedBuffer(head + "x".repeat(sent), StandardCharsets.UTF_8);
+  private static ByteBuf post(String path, int contentLength, int sentBytes) {
+    String head = "POST " + path + " HTTP/1.1\r\nContent-Length: " + contentLength + "\r\n\r\n";
+    return Unpooled.copiedBuffer(head + "x".repeat(sentBytes), StandardCharsets.UTF_8);
   }
 
-  private static String answer(EmbeddedChannel channel) {
+  private static String readResponse(EmbeddedChannel channel) {
     channel.runPendingTasks();
     StringBuilder text = new StringBuilder();
     for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
@@ -39,22 +39,25 @@
   }
 
   @Test
-  void refusesABodyThatIsTooLarge() {
+  void refusesTooLargeBody() {
     EmbeddedChannel channel = connect(new BodyBudget(10_000));
     channel.writeInbound(post("/v1/batches", 101, 0));
-    assertThat(answer(channel)).contains("413").contains("request_too_large");
+    assertThat(readResponse(channel)).contains("413").contains("request_too_large");
     assertThat(dispatched).isEmpty();
   }
 
-  /** The failure behind it: one upload of 42 MB ended a node for want of memory. */
+  /** Guards against running out of memory when several allowed uploads arrive at once. */
   @Test
-  void refusesMoreThanTheServerCanHold() {
+  void refusesBodiesBeyondServerBudget() {
     BodyBudget budget = new BodyBudget(1_500);
     EmbeddedChannel first = connect(budget);
     first.writeInbound(post("/v1/files", 1_000, 900));
     EmbeddedChannel second = connect(budget);
     second.writeInbound(post("/v1/files", 900, 900));
-    assertThat(answer(second)).contains("503").contains("\"not_run\":true").contains("retry-after");
+    assertThat(readResponse(second))
+        .contains("503")
+        .contains("\"not_run\":true")
+        .contains("retry-after");
     first.close();
     EmbeddedChannel third = connect(budget);
     third.writeInbound(post("/v1/files", 900, 900));
--- a/state/src/main/java/io/pathdeck/state/BatchJob.java
+++ b/state/src/main/java/io/pathdeck/state/BatchJob.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A batch job: its open items, and its results in the order in which they were added. */
+/**
+ * A job of a {@link BatchStateMachine}: its items are part of the submission, and their progress is
+ * recorded until each has a result.
+ */
 public final class BatchJob {
   private final SubmitBatch submission;
   private final long submittedAtMs;
@@ -31,15 +34,18 @@
     }
   }
 
-  static BatchJob restore(BatchJobRecord saved) {
-    BatchJob job = new BatchJob(saved.submission(), saved.submittedAtMs());
-    saved.results().forEach(job::addResult);
-    saved.progress().forEach(job::recordProgress);
-    job.ended = saved.ended();
+  static BatchJob restore(BatchJobRecord jobRecord) {
+    BatchJob job = new BatchJob(jobRecord.submission(), jobRecord.submittedAtMs());
+    jobRecord.results().forEach(job::addResult);
+    jobRecord.progress().forEach(job::recordProgress);
+    job.ended = jobRecord.ended();
     return job;
   }
 
-  /** Whether {@code tenant} may access the job; an empty tenant on either side matches any. */
+  /**
+   * Whether {@code tenant} may access the job. An empty {@code tenant} may access every job, and a
+   * job that was submitted without a tenant is open to all.
+   */
   boolean belongsTo(String tenant) {
     String owner = submission.tenant();
     return owner.isEmpty() || tenant.isEmpty() || owner.equals(tenant);
@@ -92,9 +98,10 @@
   }
 
   BatchJobRecord capture() {
-    List<BatchProgress> recorded = new ArrayList<>();
-    progress.forEach((item, events) -> recorded.add(capture(item, events)));
-    return new BatchJobRecord(submission, submittedAtMs, ended, new ArrayList<>(results), recorded);
+    List<BatchProgress> recordedProgress = new ArrayList<>();
+    progress.forEach((item, events) -> recordedProgress.add(capture(item, events)));
+    return new BatchJobRecord(
+        submission, submittedAtMs, ended, new ArrayList<>(results), recordedProgress);
   }
 
   private BatchProgress capture(String itemId, ItemProgress events) {
--- a/state/src/main/java/io/pathdeck/state/LeaseTable.java
+++ b/state/src/main/java/io/pathdeck/state/LeaseTable.java
@@ -73,20 +73,20 @@
     return expired;
   }
 
-  /** Removes the items of a job from all leases; returns their number. */
-  int dropJob(String jobId) {
-    int dropped = 0;
+  /** Removes the items of a job from all leases; returns how many were removed. */
+  int removeJob(String jobId) {
+    int removed = 0;
     Iterator<Lease> iterator = leases.values().iterator();
     while (iterator.hasNext()) {
       Lease lease = iterator.next();
       int before = lease.items.size();
       lease.items.removeIf(item -> item.jobId().equals(jobId));
-      dropped += before - lease.items.size();
+      removed += before - lease.items.size();
       if (lease.items.isEmpty()) {
         iterator.remove();
       }
     }
-    return dropped;
+    return removed;
   }
 
   Collection<Lease> leases() {
--- a/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
+++ b/state/src/test/java/io/pathdeck/state/TestBatchProgressProperties.java
@@ -36,48 +36,49 @@
 
   private BatchStateMachine machine;
 
-  /** A leader, its progress and its proposals that are neither applied nor lost. */
+  /** A leader with its progress and its pending proposals. */
   private final class Leader {
-    private final Deque<Command> proposed = new ArrayDeque<>();
-    private long recordedEvent;
-    private long receivedEvent;
+    private final Deque<Command> proposals = new ArrayDeque<>();
+    private long lastRecordedEvent;
+    private long lastReceivedEvent;
     private boolean resultProposed;
 
     void resume() {
-      recordedEvent = machine.job(JOB).orElseThrow().progress(ITEM).lastEvent();
-      receivedEvent = recordedEvent;
+      lastRecordedEvent = machine.job(JOB).orElseThrow().progress(ITEM).lastEvent();
+      lastReceivedEvent = lastRecordedEvent;
       resultProposed = false;
     }
 
     void receive() {
-      receivedEvent = Math.min(LAST_EVENT, receivedEvent + 2);
+      lastReceivedEvent = Math.min(LAST_EVENT, lastReceivedEvent + 2);
     }
 
     void propose() {
       if (resultProposed) {
         return;
       }
-      String text = text(recordedEvent, receivedEvent);
-      if (receivedEvent == LAST_EVENT) {
+      String text = text(lastRecordedEvent, lastReceivedEvent);
+      if (lastReceivedEvent == LAST_EVENT) {
         resultProposed = true;
-        BatchOutcome outcome = new BatchOutcome(ITEM, true, recordedEvent, text);
-        proposed.add(new ListBatchResults(JOB, List.of(outcome)));
-      } else if (receivedEvent > recordedEvent) {
-        BatchProgress progress = new BatchProgress(JOB, ITEM, recordedEvent, receivedEvent, text);
-        proposed.add(new RecordBatchProgress(List.of(progress)));
-        recordedEvent = receivedEvent;
+        BatchOutcome outcome = new BatchOutcome(ITEM, true, lastRecordedEvent, text);
+        proposals.add(new ListBatchResults(JOB, List.of(outcome)));
+      } else if (lastReceivedEvent > lastRecordedEvent) {
+        BatchProgress progress =
+            new BatchProgress(JOB, ITEM, lastRecordedEvent, lastReceivedEvent, text);
+        proposals.add(new RecordBatchProgress(List.of(progress)));
+        lastRecordedEvent = lastReceivedEvent;
       }
     }
 
     void applyNext() {
-      if (!proposed.isEmpty()) {
-        apply(proposed.poll());
+      if (!proposals.isEmpty()) {
+        apply(proposals.poll());
       }
     }
 
     /** Loses the proposals and resumes from the recorded progress. */
     void loseProposals() {
-      proposed.clear();
+      proposals.clear();
       resume();
     }
   }
@@ -98,7 +99,7 @@
   }
 
   /** Creates a state machine with one job of one item; called for each try. */
-  private void submit() {
+  private void createMachineWithJob() {
     machine = new BatchStateMachine();
     BatchItem item = new BatchItem(ITEM, "/p", Map.of(), new byte[0], 10, 5);
     apply(new SubmitBatch(JOB, "", "r", "h", List.of(item), 3, 20_000, 60_000, 0));
@@ -107,26 +108,26 @@
   @Property
   void resultIsCompleteOrAbsent(
       @ForAll @Size(max = 120) List<@IntRange(max = 2 * ACTIONS_PER_LEADER - 1) Integer> actions) {
-    submit();
+    createMachineWithJob();
     List<Leader> leaders = List.of(new Leader(), new Leader());
     leaders.forEach(Leader::resume);
     for (int action : actions) {
-      act(leaders.get(action / ACTIONS_PER_LEADER), action % ACTIONS_PER_LEADER);
+      perform(leaders.get(action / ACTIONS_PER_LEADER), action % ACTIONS_PER_LEADER);
     }
     ItemProgress progress = machine.job(JOB).orElseThrow().progress(ITEM);
     assertThat(progress.text()).isEqualTo(text(-1, progress.lastEvent()));
-    String complete = text(-1, LAST_EVENT);
-    assertThat(results()).allSatisfy(result -> assertThat(result.text()).isEqualTo(complete));
+    String completeText = text(-1, LAST_EVENT);
+    assertThat(results()).allSatisfy(result -> assertThat(result.text()).isEqualTo(completeText));
     assertThat(results()).hasSizeLessThan(2);
   }
 
   @Property
   void singleLeaderCompletesItem(
       @ForAll @Size(max = 40) List<@IntRange(max = ACTIONS_PER_LEADER - 1) Integer> actions) {
-    submit();
+    createMachineWithJob();
     Leader leader = new Leader();
     leader.resume();
-    actions.forEach(action -> act(leader, action));
+    actions.forEach(action -> perform(leader, action));
     if (results().isEmpty()) {
       leader.loseProposals();
       for (long event = 0; event <= LAST_EVENT; event++) {
@@ -138,7 +139,7 @@
     assertThat(results()).containsExactly(new BatchResult(ITEM, true, text(-1, LAST_EVENT)));
   }
 
-  private static void act(Leader leader, int action) {
+  private static void perform(Leader leader, int action) {
     switch (action) {
       case 0 -> leader.resume();
       case 1 -> leader.receive();
