--- a/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
+++ b/fleet/src/main/java/io/pathdeck/fleet/limit/TenantLedger.java
@@ -66,7 +66,7 @@
     contendedTenants.clear();
   }
 
-  /** Replaces a gateway's counts by those of its latest heartbeat. */
+  /** Replaces a gateway's counts with those of its latest heartbeat. */
   public void onHeartbeat(String gateway, long incarnation, List<TenantUse> uses, long nowMs) {
     GatewayState state =
         gateways.computeIfAbsent(
--- a/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
+++ b/fleet/src/test/java/io/pathdeck/fleet/member/TestReportInterval.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void fastPeriodRestartsAtFirstAnswer() {
+  void fastPhaseRestartsAtFirstAnswer() {
     long lateMs = 3 * ReportInterval.FAST_PHASE_MS;
     assertThat(interval.intervalMs(false, after(lateMs)))
         .isEqualTo(ReportInterval.NORMAL_INTERVAL_MS);
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void returnsToNormalIntervalAfterFastPeriod() {
+  void returnsToNormalIntervalAfterFastPhase() {
     interval.onAnswered(after(10));
     interval.onAnswered(after(2_000));
     long endMs = 10 + ReportInterval.FAST_PHASE_MS;
